--- a/crates/kelpdoor-director/benches/desk.rs
+++ b/crates/kelpdoor-director/benches/desk.rs
@@ -9,7 +9,7 @@
 use common::{Bench, book, ok, requests, start};
 use kelpdoor_api::{FromPlayer, RequestKey};
 use kelpdoor_director::{Effect, FromRoster, Input, NodeWord, Phase, RosterNode, RosterTitle};
-use kelpdoor_rtsp::{Method, names};
+use kelpdoor_rtsp::{Method, header_names};
 
 const NODES: u32 = 40;
 const RATE: f64 = 500.0;
@@ -35,13 +35,13 @@
         while !todo.is_empty() {
             let mut more = Vec::new();
             for (node, link, r) in requests(&todo) {
-                let mut answer = ok(&r).with(names::LOAD, "streams=100;link=0.5");
+                let mut answer = ok(&r).with(header_names::LOAD_REPORT, "streams=100;link=0.5");
                 if r.method == Method::Setup {
                     self.next += 1;
-                    answer = answer.with(names::SESSION, self.next);
+                    answer = answer.with(header_names::SESSION, self.next);
                 }
                 if r.method == Method::Play {
-                    answer = answer.with(names::ASKED, "link=0.5");
+                    answer = answer.with(header_names::ASKED, "link=0.5");
                 }
                 self.inputs += 1;
                 more.extend(self.bench.input(Input::Node {
--- a/crates/kelpdoor-director/src/desk.rs
+++ b/crates/kelpdoor-director/src/desk.rs
@@ -15,7 +15,9 @@
 };
 use kelpdoor::{Director, Orders, Round};
 use kelpdoor_api::{EndedWhy, ErrorCode, FailedWhy, FromPlayer, RequestKey, ToPlayer};
-use kelpdoor_rtsp::{Asked as AskedOf, Load, Message, Method, Request, Response, names, reasons};
+use kelpdoor_rtsp::{
+    LinkDemandHeader, LoadReportHeader, Message, Method, Request, Response, header_names, notify_reasons,
+};
 use kelpdoor_script::Deployment;
 use kelpdoor_seats::Holder;
 use kelpdoor_tokens::Entitlement;
@@ -96,7 +98,7 @@
 }
 
 fn load_of(headers: &kelpdoor_rtsp::Headers) -> LoadReport {
-    let load = headers.get(names::LOAD).map(Load::read).unwrap_or_default();
+    let load = headers.get(header_names::LOAD_REPORT).map(LoadReportHeader::parse).unwrap_or_default();
     LoadReport { streams: load.streams, link: load.link, uplink: load.uplink }
 }
 
@@ -510,7 +512,7 @@
         link.out.insert(link.cseq, asked);
         let mut request = Request::new(method, uri, link.cseq);
         for (name, value) in with {
-            request.headers.put(name, value);
+            request.headers.append(name, value);
         }
         let mut bytes = Vec::with_capacity(192);
         Message::Request(request).write(&mut bytes);
@@ -560,7 +562,13 @@
                 let uri = format!("rtsp://{}/", link.address);
                 let me = self.book.director.me;
                 let agent = format!("kelpdoor/{} (director {me})", env!("CARGO_PKG_VERSION"));
-                self.request(node, Asked::Options, Method::Options, &uri, &[(names::USER_AGENT, agent)]);
+                self.request(
+                    node,
+                    Asked::Options,
+                    Method::Options,
+                    &uri,
+                    &[(header_names::USER_AGENT, agent)],
+                );
                 waiting.into_iter().for_each(|id| self.send(id));
                 let look = self.now + self.book.node_links.quiet / 2.0;
                 self.timers.set(look, Timer::Look { node, link: number });
@@ -644,15 +652,15 @@
         }
         (a.sent, a.link) = (true, link.number);
         let mut setup = vec![
-            (names::PIPELINED, pipe.to_string()),
-            (names::TRANSPORT, "RTP/AVP/TCP;unicast".to_owned()),
-            (names::RUNG, s.rung.to_string()),
-            (names::GROUP, self.book.groups[usize::from(s.group)].name.clone()),
-            (names::KEY, s.key.0.clone()),
+            (header_names::PIPELINED, pipe.to_string()),
+            (header_names::TRANSPORT, "RTP/AVP/TCP;unicast".to_owned()),
+            (header_names::RUNG, s.rung.to_string()),
+            (header_names::SERVICE_GROUP, self.book.groups[usize::from(s.group)].name.clone()),
+            (header_names::REQUEST_KEY, s.key.0.clone()),
         ];
         let uri = format!("rtsp://{}/{}", link.address, s.title_name);
         if self.lease.is_some() {
-            setup.push((names::RULES, label));
+            setup.push((header_names::RULES_VERSION, label));
         }
         self.request(node, Asked::Setup { sess: id, pipe }, Method::Setup, &uri, &setup);
         self.request(node, Asked::Play { sess: id, pipe }, Method::Play, &uri, &setup[..1]);
@@ -664,8 +672,8 @@
         let Some(s) = self.sess.get_mut(&id) else { return };
         let Some(a) = &s.attempt else { return };
         let name = match &a.rtsp {
-            Some(rtsp) => (names::SESSION, rtsp.clone()),
-            None => (names::PIPELINED, a.pipe.to_string()),
+            Some(rtsp) => (header_names::SESSION, rtsp.clone()),
+            None => (header_names::PIPELINED, a.pipe.to_string()),
         };
         let (node, sent, title) = (a.node, a.sent, s.title_name.clone());
         if sent {
@@ -720,13 +728,14 @@
                 }
             }
             Asked::Setup { sess, pipe } => {
-                let rtsp = r.headers.get(names::SESSION).map(|s| s.split(';').next().unwrap_or(s).trim());
+                let rtsp =
+                    r.headers.get(header_names::SESSION).map(|s| s.split(';').next().unwrap_or(s).trim());
                 let rtsp = rtsp.filter(|s| !s.is_empty() && s.len() <= 128).map(str::to_owned);
                 if self.current(sess, pipe).is_none() {
                     // A late success: taken back by the name that the node now gives it.
                     if let Some(rtsp) = rtsp.filter(|_| r.ok()) {
                         let uri = self.uri(node, "");
-                        let name = [(names::SESSION, rtsp)];
+                        let name = [(header_names::SESSION, rtsp)];
                         self.request(node, Asked::Teardown { sess: 0 }, Method::Teardown, &uri, &name);
                     }
                     return;
@@ -742,7 +751,7 @@
                         self.plays(sess, None);
                     }
                     // Refused, or a 200 that names no session.
-                    None => self.refused(sess, r.turned_away(), load),
+                    None => self.refused(sess, r.is_refusal(), load),
                 }
             }
             Asked::Play { sess, pipe } => {
@@ -759,7 +768,7 @@
                 if let Some(a) = self.sess.get_mut(&sess).and_then(|s| s.attempt.as_mut()) {
                     a.play_ok = true;
                 }
-                self.plays(sess, r.headers.get(names::ASKED).map(AskedOf::read));
+                self.plays(sess, r.headers.get(header_names::ASKED).map(LinkDemandHeader::parse));
             }
             Asked::Rung { sess, rung, was, .. } => {
                 if !r.ok() {
@@ -805,7 +814,7 @@
     }
 
     /// The session plays once SETUP and PLAY are both answered.
-    fn plays(&mut self, id: u64, asked: Option<AskedOf>) {
+    fn plays(&mut self, id: u64, asked: Option<LinkDemandHeader>) {
         let Some(s) = self.sess.get(&id) else { return };
         let Some(a) = s.attempt.as_ref().filter(|a| a.play_ok && a.rtsp.is_some()) else { return };
         if s.stage != Stage::Asked {
@@ -829,7 +838,7 @@
         self.watch_seat(id);
     }
 
-    fn reading(&mut self, id: u64, node: u32, asked: AskedOf) {
+    fn reading(&mut self, id: u64, node: u32, asked: LinkDemandHeader) {
         let (sess, node) = (SessId(id), NodeId(node));
         if let Some(asked) = asked.link {
             self.round.readings.push(Reading::Link { sess, node, asked });
@@ -852,7 +861,7 @@
         let reply = |status| Message::Response(Response::new(status, r.cseq)).to_bytes();
         let Some(link) = self.links.get(&node) else { return };
         let number = link.number;
-        let sess = r.headers.get(names::SESSION).and_then(|s| link.by_rtsp.get(s.trim()).copied());
+        let sess = r.headers.get(header_names::SESSION).and_then(|s| link.by_rtsp.get(s.trim()).copied());
         let status = match (r.method, sess) {
             (Method::Options, _) => 200,
             (Method::PlayNotify, Some(_)) => 200,
@@ -864,18 +873,19 @@
         if !self.sess.get(&id).is_some_and(|s| s.stage == Stage::Playing) {
             return;
         }
-        match r.headers.get(names::NOTIFY_REASON).unwrap_or("") {
-            reasons::DELIVERY => {
-                let share = r.headers.read::<f64>(names::DELIVERED);
+        match r.headers.get(header_names::NOTIFY_REASON).unwrap_or("") {
+            notify_reasons::DELIVERY_SHARE => {
+                let share = r.headers.parse_value::<f64>(header_names::DELIVERED);
                 if let Some(share) = share.filter(|s| s.is_finite() && (0.0..=1.0).contains(s)) {
                     self.round.readings.push(Reading::Delivered { node: NodeId(node), share });
                 }
             }
-            reasons::LOAD => {
-                let asked = r.headers.get(names::ASKED).map(AskedOf::read).unwrap_or_default();
+            notify_reasons::LINK_LOAD => {
+                let asked =
+                    r.headers.get(header_names::ASKED).map(LinkDemandHeader::parse).unwrap_or_default();
                 self.reading(id, node, asked);
             }
-            reasons::END_OF_STREAM => {
+            notify_reasons::END_OF_STREAM => {
                 self.tear_down(id);
                 if let Some(a) = self.sess.get(&id).and_then(|s| s.attempt.clone()) {
                     self.leave(id, &a);
@@ -1175,7 +1185,7 @@
         let Some(a) = s.attempt.clone() else { return };
         let Some(rtsp) = a.rtsp else { return };
         let uri = self.uri(a.node, "");
-        let with = [(names::SESSION, rtsp), (names::RUNG, rung.to_string())];
+        let with = [(header_names::SESSION, rtsp), (header_names::RUNG, rung.to_string())];
         self.next_pipe += 1;
         let name = self.next_pipe;
         let asked = Asked::Rung { sess: sess.0, rung, was, name };
--- a/crates/kelpdoor-director/tests/desk.rs
+++ b/crates/kelpdoor-director/tests/desk.rs
@@ -9,7 +9,7 @@
 use common::{Bench, book, roster};
 use kelpdoor_api::{FromPlayer, RequestKey, ToPlayer};
 use kelpdoor_director::{Effect, Input, NodeWord, Phase, Shown};
-use kelpdoor_rtsp::{Message, Method, Response, names};
+use kelpdoor_rtsp::{Message, Method, Response, header_names};
 use kelpdoor_seats::{Lease, Ledger, School, ToKeeper, TokenId};
 use kelpdoor_tokens::Entitlement;
 use proptest::prelude::*;
@@ -229,12 +229,16 @@
 
     fn heard(&mut self, node: u32, link: u64, message: Message) {
         let Message::Request(r) = message else { return };
-        let pipe = r.headers.get(names::PIPELINED).unwrap_or("").to_owned();
+        let pipe = r.headers.get(header_names::PIPELINED).unwrap_or("").to_owned();
         if r.method == Method::Setup {
-            assert_eq!(r.headers.get(names::RULES).is_some(), self.lease.is_some(), "versions are named");
-            let rung: u8 = r.headers.read(names::RUNG).expect("a rung");
+            assert_eq!(
+                r.headers.get(header_names::RULES_VERSION).is_some(),
+                self.lease.is_some(),
+                "versions are named"
+            );
+            let rung: u8 = r.headers.parse_value(header_names::RUNG).expect("a rung");
             assert!(rung >= self.floor, "rung {rung} under the floor {} in force", self.floor);
-            let key = r.headers.get(names::KEY).expect("a key").to_owned();
+            let key = r.headers.get(header_names::REQUEST_KEY).expect("a key").to_owned();
             let other = self.live.values().find(|(k, _, _)| *k == key);
             assert!(other.is_none(), "two SETUPs of {key} are out or play: {other:?}");
             if let Some(token) = self.tokens.get(&key) {
@@ -244,7 +248,8 @@
             self.live.insert(pipe.clone(), (key, node, link));
         }
         if r.method == Method::Teardown {
-            let by_name = r.headers.get(names::SESSION).and_then(|s| self.rtsp.get(s)).map(|x| x.2.clone());
+            let by_name =
+                r.headers.get(header_names::SESSION).and_then(|s| self.rtsp.get(s)).map(|x| x.2.clone());
             self.live.remove(&by_name.unwrap_or_else(|| pipe.clone()));
         }
         self.out.push((node, link, r.cseq, r.method, pipe));
@@ -376,16 +381,16 @@
                     return;
                 }
                 let (node, link, cseq, method, pipe) = self.out.remove(usize::from(which) % self.out.len());
-                let mut r = Response::new(status, cseq).with(names::LOAD, "streams=3;link=0.5");
+                let mut r = Response::new(status, cseq).with(header_names::LOAD_REPORT, "streams=3;link=0.5");
                 if method == Method::Setup && r.ok() {
                     self.next += 1;
                     let id = format!("s{}", self.next);
-                    r = r.with(names::SESSION, &id);
+                    r = r.with(header_names::SESSION, &id);
                     self.rtsp.insert(id, (node, link, pipe));
                 } else if method == Method::Setup {
                     self.live.remove(&pipe);
                 } else if method == Method::Play {
-                    r = r.with(names::ASKED, "link=0.7");
+                    r = r.with(header_names::ASKED, "link=0.7");
                 }
                 for _ in 0..1 + usize::from(twice) {
                     let word = NodeWord::Said(r.clone().into());
@@ -394,7 +399,8 @@
             }
             Step::Stray { node, cseq } => {
                 if let Some(&(node, link)) = self.up.iter().find(|(n, _)| *n == u32::from(node)) {
-                    let word = NodeWord::Said(Response::new(200, cseq).with(names::SESSION, "s9999").into());
+                    let word =
+                        NodeWord::Said(Response::new(200, cseq).with(header_names::SESSION, "s9999").into());
                     self.input(Input::Node { node, link, word });
                 }
             }
@@ -409,10 +415,10 @@
                     self.live.remove(&pipe);
                 }
                 let r = kelpdoor_rtsp::Request::new(Method::PlayNotify, "rtsp://n/", 1)
-                    .with(names::SESSION, &id)
-                    .with(names::NOTIFY_REASON, reasons[usize::from(reason)])
-                    .with(names::DELIVERED, "0.7")
-                    .with(names::ASKED, "link=1.3");
+                    .with(header_names::SESSION, &id)
+                    .with(header_names::NOTIFY_REASON, reasons[usize::from(reason)])
+                    .with(header_names::DELIVERED, "0.7")
+                    .with(header_names::ASKED, "link=1.3");
                 self.input(Input::Node { node, link, word: NodeWord::Said(r.into()) });
             }
             Step::Connect { which, works } => {
--- a/crates/kelpdoor-director/tests/seats.rs
+++ b/crates/kelpdoor-director/tests/seats.rs
@@ -7,7 +7,7 @@
 use expect_test::{Expect, expect};
 use kelpdoor_api::{FromPlayer, RequestKey};
 use kelpdoor_director::{Effect, Input, Shown};
-use kelpdoor_rtsp::{Method, names};
+use kelpdoor_rtsp::{Method, header_names};
 use kelpdoor_seats::{DirectorId, Epoch, FromKeeper, Lease, Ledger, School, ToKeeper, TokenId};
 use kelpdoor_tokens::Entitlement;
 
@@ -43,14 +43,15 @@
             match r.method {
                 Method::Setup => {
                     self.next += 1;
-                    let key = r.headers.get(names::KEY).unwrap_or("").to_owned();
+                    let key = r.headers.get(header_names::REQUEST_KEY).unwrap_or("").to_owned();
                     self.lines.push(format!("    SETUP {key}"));
                     let id = format!("s{}", self.next);
-                    let more = self.bench.says(node, link, ok(&r).with(names::SESSION, &id));
+                    let more = self.bench.says(node, link, ok(&r).with(header_names::SESSION, &id));
                     self.done(more);
                 }
                 Method::Teardown => {
-                    self.lines.push(format!("    TEARDOWN {}", r.headers.get(names::SESSION).unwrap_or("")));
+                    self.lines
+                        .push(format!("    TEARDOWN {}", r.headers.get(header_names::SESSION).unwrap_or("")));
                     let more = self.bench.says(node, link, ok(&r));
                     self.done(more);
                 }
--- a/crates/kelpdoor-director/tests/story.rs
+++ b/crates/kelpdoor-director/tests/story.rs
@@ -6,14 +6,19 @@
 use expect_test::{Expect, expect};
 use kelpdoor_api::{FromPlayer, RequestKey, ToPlayer};
 use kelpdoor_director::{Desk, Effect, FromRoster, Input, NodeWord, Phase, RosterList, journal};
-use kelpdoor_rtsp::{Method, Request, Response, names, reasons};
+use kelpdoor_rtsp::{Method, Request, Response, header_names, notify_reasons};
 
 /// What goes to nodes and players, a line each.
 fn trace(effects: &[Effect], expected: Expect) {
     let mut lines = Vec::new();
     for (node, _, r) in requests(effects) {
         let of = |name| r.headers.get(name).map(|v| format!(" {name}={v}")).unwrap_or_default();
-        let names = [names::SESSION, names::RUNG, names::GROUP, names::KEY];
+        let names = [
+            header_names::SESSION,
+            header_names::RUNG,
+            header_names::SERVICE_GROUP,
+            header_names::REQUEST_KEY,
+        ];
         lines.push(format!("node {node}: {}{}", r.method.name(), names.map(of).concat()));
     }
     lines.extend(told(effects));
@@ -41,8 +46,12 @@
 fn answer(
     bench: &mut Bench, (node, link, setup, play): (u32, u64, Request, Request), id: &str,
 ) -> Vec<Effect> {
-    let mut effects = bench.says(node, link, ok(&setup).with(names::SESSION, id));
-    effects.extend(bench.says(node, link, ok(&play).with(names::SESSION, id).with(names::ASKED, "link=0.4")));
+    let mut effects = bench.says(node, link, ok(&setup).with(header_names::SESSION, id));
+    effects.extend(bench.says(
+        node,
+        link,
+        ok(&play).with(header_names::SESSION, id).with(header_names::ASKED, "link=0.4"),
+    ));
     effects
 }
 
@@ -195,8 +204,8 @@
     answer(&mut bench, out, "s1");
     let notice = |id: &str| {
         Request::new(Method::PlayNotify, "rtsp://n/", 9)
-            .with(names::SESSION, id)
-            .with(names::NOTIFY_REASON, reasons::END_OF_STREAM)
+            .with(header_names::SESSION, id)
+            .with(header_names::NOTIFY_REASON, notify_reasons::END_OF_STREAM)
     };
     let strange = bench.says(node, link, notice("s77"));
     assert!(matches!(&strange[..], [Effect::Node { bytes, .. }] if bytes.starts_with(b"RTSP/2.0 454")));
@@ -236,8 +245,8 @@
     bench.now += 5.0;
     // All that came is taken in before time-outs fire.
     let said = |r: Response| Input::Node { node, link, word: NodeWord::Said(r.into()) };
-    bench.desk.take(bench.now, said(ok(&setup).with(names::SESSION, "s1")));
-    bench.desk.take(bench.now, said(ok(&play).with(names::SESSION, "s1")));
+    bench.desk.take(bench.now, said(ok(&setup).with(header_names::SESSION, "s1")));
+    bench.desk.take(bench.now, said(ok(&play).with(header_names::SESSION, "s1")));
     let effects = bench.round();
     assert!(finals(&effects).iter().all(|f| !matches!(f, ToPlayer::Playing { .. })), "{effects:?}");
     assert_eq!((finals(&effects).len(), bench.desk.counts().playing), (1, 0));
@@ -364,8 +373,8 @@
     let mut bench = up(1);
     let effects = bench.start(1, "key-00001", "any", "t0");
     let (node, link, setup, play) = asked(&effects);
-    bench.says(node, link, ok(&setup).with(names::SESSION, "s1"));
-    bench.says(node, link, ok(&play).with(names::ASKED, "link=0.21"));
+    bench.says(node, link, ok(&setup).with(header_names::SESSION, "s1"));
+    bench.says(node, link, ok(&play).with(header_names::ASKED, "link=0.21"));
     let effects = bench.wait(2.0);
     let change =
         requests(&effects).into_iter().find(|r| r.2.method == Method::SetParameter).expect("a rise").2;
@@ -486,8 +495,8 @@
     bench.input(Input::Lease { until: bench.now + 100.0 });
     let effects = bench.start(1, "key-00001", "any", "t0");
     let (node, link, setup, play) = asked(&effects);
-    bench.says(node, link, ok(&setup).with(names::SESSION, "s1"));
-    bench.says(node, link, ok(&play).with(names::ASKED, "link=0.21"));
+    bench.says(node, link, ok(&setup).with(header_names::SESSION, "s1"));
+    bench.says(node, link, ok(&play).with(header_names::ASKED, "link=0.21"));
     let effects = bench.wait(2.0);
     // It stands apart from what goes out anyway, so that the outbox can keep it back alone.
     let leased: Vec<(u32, u64, u64)> = effects
--- a/crates/kelpdoor-lab/src/fluid.rs
+++ b/crates/kelpdoor-lab/src/fluid.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use kelpdoor_rtsp::{Asked, Load};
+use kelpdoor_rtsp::{LinkDemandHeader, LoadReportHeader};
 
 /// s; how fast the share that a node tells of follows the true one.
 const SMOOTH: f64 = 0.5;
@@ -53,7 +53,7 @@
     pub setup_factor: f64,
     pub share: f64,
     pub setups: VecDeque<f64>,
-    pub reported: Load,
+    pub reported: LoadReportHeader,
     pub reported_at: f64,
 }
 
@@ -135,11 +135,11 @@
     }
 
     /// What is asked over what is given: of the node's link and of its rack's uplink.
-    pub fn asked(&self, node: u32) -> Asked {
-        let Some(n) = self.nodes.get(&node) else { return Asked::default() };
+    pub fn asked(&self, node: u32) -> LinkDemandHeader {
+        let Some(n) = self.nodes.get(&node) else { return LinkDemandHeader::default() };
         let link = self.asked_node.get(&node).copied().unwrap_or(0.0) / (n.link_kb * n.link_factor).max(1e-9);
         let uplink = self.asked_rack[n.rack] / (self.uplinks[n.rack] * self.uplink_factor[n.rack]).max(1e-9);
-        Asked { link: Some(link), uplink: self.terms.uplinks_told.then_some(uplink) }
+        LinkDemandHeader { link: Some(link), uplink: self.terms.uplinks_told.then_some(uplink) }
     }
 
     fn share_now(&self, node: u32) -> f64 {
@@ -174,7 +174,7 @@
             if now - n.reported_at >= REFRESH {
                 let asked = self.asked(id);
                 let streams = Some(self.count(id) as f64);
-                reports.push((id, Load { streams, link: asked.link, uplink: asked.uplink }));
+                reports.push((id, LoadReportHeader { streams, link: asked.link, uplink: asked.uplink }));
             }
         }
         for (id, load) in reports {
--- a/crates/kelpdoor-lab/src/fluid/tests.rs
+++ b/crates/kelpdoor-lab/src/fluid/tests.rs
@@ -24,7 +24,7 @@
             setup_factor: 1.0,
             share: 1.0,
             setups: VecDeque::new(),
-            reported: Load::default(),
+            reported: LoadReportHeader::default(),
             reported_at: -1.0,
         };
         fleet.nodes.insert(id, node);
--- a/crates/kelpdoor-lab/src/node.rs
+++ b/crates/kelpdoor-lab/src/node.rs
@@ -7,7 +7,7 @@
 
 use anyhow::Result;
 use kelpdoor_director::{Phase, RosterNode};
-use kelpdoor_rtsp::{Message, Method, Request, Response, names, parse, reasons};
+use kelpdoor_rtsp::{Message, Method, Request, Response, header_names, notify_reasons, parse};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, JoinSet};
@@ -254,8 +254,8 @@
                 let was = c.map(|c| std::mem::replace(&mut c.short, share < 0.98)).unwrap_or(false);
                 if share < 0.98 || was {
                     let with = vec![
-                        (names::NOTIFY_REASON, reasons::DELIVERY.to_owned()),
-                        (names::DELIVERED, format!("{share:.3}")),
+                        (header_names::NOTIFY_REASON, notify_reasons::DELIVERY_SHARE.to_owned()),
+                        (header_names::DELIVERED, format!("{share:.3}")),
                     ];
                     Self::later(s, t, id, conn, &rtsp, with);
                 }
@@ -268,8 +268,10 @@
         for id in ids {
             let asked = s.fleet.asked(id).to_string();
             for (conn, rtsp) in Self::one_each(s, id) {
-                let with =
-                    vec![(names::NOTIFY_REASON, reasons::LOAD.to_owned()), (names::ASKED, asked.clone())];
+                let with = vec![
+                    (header_names::NOTIFY_REASON, notify_reasons::LINK_LOAD.to_owned()),
+                    (header_names::ASKED, asked.clone()),
+                ];
                 Self::later(s, t, id, conn, &rtsp, with);
             }
         }
@@ -282,9 +284,9 @@
         let Some(c) = s.processes.get_mut(&node).and_then(|p| p.conns.get_mut(&conn)) else { return };
         c.cseq += 1;
         let mut request = Request::new(Method::PlayNotify, format!("rtsp://node-{node}/"), c.cseq)
-            .with(names::SESSION, rtsp);
+            .with(header_names::SESSION, rtsp);
         for (name, value) in with {
-            request.headers.put(name, value);
+            request.headers.append(name, value);
         }
         self.send(s, node, conn, &request.into());
     }
@@ -393,13 +395,13 @@
             return;
         }
         let load = n.reported.to_string();
-        let answer = |status: u16| Response::new(status, r.cseq).with(names::LOAD, &load);
+        let answer = |status: u16| Response::new(status, r.cseq).with(header_names::LOAD_REPORT, &load);
         let by_pipe = |s: &State| {
-            let pipe = r.headers.get(names::PIPELINED)?;
+            let pipe = r.headers.get(header_names::PIPELINED)?;
             s.fleet.piped(conn, pipe).cloned()
         };
         let named = |s: &State| {
-            let id = r.headers.get(names::SESSION)?;
+            let id = r.headers.get(header_names::SESSION)?;
             s.fleet.streams.contains_key(id).then(|| id.to_owned())
         };
         match r.method {
@@ -410,7 +412,7 @@
                     self.kill(node, "pushed over while cold");
                 }
                 Verdict::Full => {
-                    let full = answer(453).with(names::RETRY_AFTER, 1);
+                    let full = answer(453).with(header_names::RETRY_AFTER, 1);
                     self.send(&mut s, node, conn, &full.into());
                 }
                 Verdict::Goes(wait) => {
@@ -420,11 +422,11 @@
                     let stream = Stream {
                         node,
                         conn,
-                        pipe: get(names::PIPELINED),
-                        key: get(names::KEY),
+                        pipe: get(header_names::PIPELINED),
+                        key: get(header_names::REQUEST_KEY),
                         title: r.uri.rsplit('/').next().unwrap_or("").to_owned(),
-                        group: get(names::GROUP),
-                        rung: r.headers.read(names::RUNG).unwrap_or(0),
+                        group: get(header_names::SERVICE_GROUP),
+                        rung: r.headers.parse_value(header_names::RUNG).unwrap_or(0),
                         playing: false,
                         began: t + wait,
                         played: 0.0,
@@ -441,7 +443,8 @@
                             s.fleet.nodes.get(&node).map(|n| n.reported.to_string()).unwrap_or_default();
                         let there = s.fleet.streams.contains_key(&rtsp);
                         let answer = Response::new(if there { 200 } else { 454 }, cseq);
-                        let answer = answer.with(names::SESSION, &rtsp).with(names::LOAD, load);
+                        let answer =
+                            answer.with(header_names::SESSION, &rtsp).with(header_names::LOAD_REPORT, load);
                         me.send(&mut s, node, conn, &answer.into());
                     });
                 }
@@ -460,12 +463,12 @@
                     let asked = s.fleet.asked(node).to_string();
                     let there = s.fleet.streams.get_mut(&id).map(|x| x.playing = true).is_some();
                     let answer = Response::new(if there { 200 } else { 454 }, cseq);
-                    let answer = answer.with(names::SESSION, &id).with(names::ASKED, asked);
+                    let answer = answer.with(header_names::SESSION, &id).with(header_names::ASKED, asked);
                     me.send(&mut s, node, conn, &answer.into());
                 });
             }
             Method::SetParameter => {
-                let rung = r.headers.read(names::RUNG);
+                let rung = r.headers.parse_value(header_names::RUNG);
                 let status = match (named(&s), rung) {
                     (Some(id), Some(rung)) => {
                         if let Some(x) = s.fleet.streams.get_mut(&id) {
--- a/crates/kelpdoor-lab/src/relay.rs
+++ b/crates/kelpdoor-lab/src/relay.rs
@@ -10,7 +10,7 @@
 use futures_util::{SinkExt, StreamExt};
 use kelpdoor_api::{EndedWhy, FromPlayer, RequestKey, SUBPROTOCOL, ToPlayer};
 use kelpdoor_director::{FromRoster, RosterList, ToRoster};
-use kelpdoor_rtsp::{Message, Method, Request, names, parse};
+use kelpdoor_rtsp::{Message, Method, Request, header_names, parse};
 use kelpdoor_script::Deployment;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -105,7 +105,7 @@
             let answer = if !play {
                 ToPlayer::Ended { key, why: EndedWhy::Stopped }
             } else if r.ok() {
-                let id = r.headers.get(names::SESSION).unwrap_or("").to_owned();
+                let id = r.headers.get(header_names::SESSION).unwrap_or("").to_owned();
                 s.playing.insert(key.clone(), (node, id));
                 ToPlayer::Playing { key, uri: format!("rtsp://node-{node}/"), rung: 1, resume_for: 0.0 }
             } else {
@@ -166,17 +166,17 @@
                         let pipe = s.next;
                         let uri = format!("rtsp://node-{node}/{title}");
                         let setup = Request::new(Method::Setup, &uri, 0)
-                            .with(names::PIPELINED, pipe)
-                            .with(names::RUNG, 1)
-                            .with(names::GROUP, group)
-                            .with(names::KEY, &key.0);
+                            .with(header_names::PIPELINED, pipe)
+                            .with(header_names::RUNG, 1)
+                            .with(header_names::SERVICE_GROUP, group)
+                            .with(header_names::REQUEST_KEY, &key.0);
                         ask(&mut s, node, setup, None);
-                        let play = Request::new(Method::Play, &uri, 0).with(names::PIPELINED, pipe);
+                        let play = Request::new(Method::Play, &uri, 0).with(header_names::PIPELINED, pipe);
                         ask(&mut s, node, play, Some((to.clone(), key, true)));
                     }
                     FromPlayer::Stop { key } => {
                         if let Some((node, id)) = s.playing.remove(&key) {
-                            let teardown = Request::new(Method::Teardown, "rtsp://node/", 0).with(names::SESSION, id);
+                            let teardown = Request::new(Method::Teardown, "rtsp://node/", 0).with(header_names::SESSION, id);
                             ask(&mut s, node, teardown, Some((to.clone(), key, false)));
                         }
                     }
--- a/crates/kelpdoor-rtsp/src/lib.rs
+++ b/crates/kelpdoor-rtsp/src/lib.rs
@@ -8,11 +8,11 @@
 mod values;
 
 pub use message::{Headers, Message, Method, Request, Response, Version};
-pub use parse::{Fault, MAX_HEADERS, parse, parse_as};
-pub use values::{Asked, Load};
+pub use parse::{MAX_HEADERS, ParseError, parse, parse_as};
+pub use values::{LinkDemandHeader, LoadReportHeader};
 
 /// Header names of the subset. Those under "ours" are extensions, which RFC 7826, section 4.1 lets a peer skip.
-pub mod names {
+pub mod header_names {
     pub const CSEQ: &str = "CSeq";
     pub const SESSION: &str = "Session";
     /// Ties a PLAY or TEARDOWN to a SETUP that is not answered yet (section 18.33).
@@ -24,18 +24,18 @@
     pub const TRANSPORT: &str = "Transport";
     // Ours.
     pub const RUNG: &str = "Rung";
-    pub const GROUP: &str = "Service-Group";
-    pub const KEY: &str = "Request-Key";
+    pub const SERVICE_GROUP: &str = "Service-Group";
+    pub const REQUEST_KEY: &str = "Request-Key";
     /// The versions of the rules that a SETUP was decided on, where directors agree on them.
-    pub const RULES: &str = "Rules-Version";
-    pub const LOAD: &str = "Load-Report";
+    pub const RULES_VERSION: &str = "Rules-Version";
+    pub const LOAD_REPORT: &str = "Load-Report";
     pub const ASKED: &str = "Asked";
     pub const DELIVERED: &str = "Delivered";
 }
 
 /// Values of Notify-Reason (section 13.5.1); the last two are ours.
-pub mod reasons {
+pub mod notify_reasons {
     pub const END_OF_STREAM: &str = "end-of-stream";
-    pub const DELIVERY: &str = "delivery-share";
-    pub const LOAD: &str = "link-load";
+    pub const DELIVERY_SHARE: &str = "delivery-share";
+    pub const LINK_LOAD: &str = "link-load";
 }
--- a/crates/kelpdoor-rtsp/src/message.rs
+++ b/crates/kelpdoor-rtsp/src/message.rs
@@ -1,6 +1,6 @@
 //! Requests and responses, and how they are written.
 
-use crate::names;
+use crate::header_names;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
@@ -80,12 +80,12 @@
     }
 
     /// A value read as a number or whatever else parses; `None` where absent or unreadable.
-    pub fn read<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
+    pub fn parse_value<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.get(name)?.trim().parse().ok()
     }
 
     /// Adds a field. Bytes that would end the line are dropped, so that no value can forge a header.
-    pub fn put(&mut self, name: &str, value: impl std::fmt::Display) {
+    pub fn append(&mut self, name: &str, value: impl std::fmt::Display) {
         let clean: String = value.to_string().chars().filter(|c| !c.is_control()).collect();
         self.0.push((name.to_owned(), clean));
     }
@@ -107,7 +107,7 @@
     }
 
     pub fn with(mut self, name: &str, value: impl std::fmt::Display) -> Self {
-        self.headers.put(name, value);
+        self.headers.append(name, value);
         self
     }
 }
@@ -127,7 +127,7 @@
     }
 
     pub fn with(mut self, name: &str, value: impl std::fmt::Display) -> Self {
-        self.headers.put(name, value);
+        self.headers.append(name, value);
         self
     }
 
@@ -137,7 +137,7 @@
 
     /// The node turned the request away without a look, so nothing ran: 453 Not Enough Bandwidth (17.4.20)
     /// and 503 Service Unavailable (17.5.4).
-    pub fn turned_away(&self) -> bool {
+    pub fn is_refusal(&self) -> bool {
         matches!(self.status, 453 | 503)
     }
 }
@@ -189,7 +189,7 @@
             }
         };
         out.extend_from_slice(first.as_bytes());
-        out.extend_from_slice(format!("\r\n{}: {cseq}\r\n", names::CSEQ).as_bytes());
+        out.extend_from_slice(format!("\r\n{}: {cseq}\r\n", header_names::CSEQ).as_bytes());
         for (name, value) in &headers.0 {
             out.extend_from_slice(name.as_bytes());
             out.extend_from_slice(b": ");
@@ -197,7 +197,7 @@
             out.extend_from_slice(b"\r\n");
         }
         if !body.is_empty() || version == Version::V1 {
-            out.extend_from_slice(format!("{}: {}\r\n", names::CONTENT_LENGTH, body.len()).as_bytes());
+            out.extend_from_slice(format!("{}: {}\r\n", header_names::CONTENT_LENGTH, body.len()).as_bytes());
         }
         out.extend_from_slice(b"\r\n");
         out.extend_from_slice(body);
--- a/crates/kelpdoor-rtsp/src/parse.rs
+++ b/crates/kelpdoor-rtsp/src/parse.rs
@@ -7,15 +7,15 @@
 use winnow::prelude::*;
 use winnow::token::{literal, take_till, take_while};
 
+use crate::header_names;
 use crate::message::{Headers, Message, Method, Request, Response, Version};
-use crate::names;
 
 /// Header fields at most.
 pub const MAX_HEADERS: usize = 32;
 
 /// Why the bytes are no message. The connection is of no use after one: where the next message starts is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum ParseError {
     #[error("no end of the headers within {0} bytes")]
     HeadTooLong(usize),
     #[error("a body of {0} bytes, {1} at most")]
@@ -84,60 +84,60 @@
 /// CRLFs before a message are skipped (section 5).
 ///
 /// # Errors
-/// A [`Fault`] names what is wrong; the caller closes the connection.
-pub fn parse(buf: &[u8]) -> Result<Option<(Message, usize)>, Fault> {
+/// A [`ParseError`] names what is wrong; the caller closes the connection.
+pub fn parse(buf: &[u8]) -> Result<Option<(Message, usize)>, ParseError> {
     parse_as(Version::V2, buf)
 }
 
 /// As [`parse`], of that version. In 1.0 a message without CSeq counts as numbered 0.
 ///
 /// # Errors
-/// A [`Fault`] names what is wrong; the caller closes the connection.
-pub fn parse_as(version: Version, buf: &[u8]) -> Result<Option<(Message, usize)>, Fault> {
+/// A [`ParseError`] names what is wrong; the caller closes the connection.
+pub fn parse_as(version: Version, buf: &[u8]) -> Result<Option<(Message, usize)>, ParseError> {
     let (max_head, max_body) = version.limits();
     let skipped = buf.chunks(2).take_while(|c| *c == b"\r\n").count() * 2;
     let rest = &buf[skipped..];
     let window = &rest[..rest.len().min(max_head)];
     let Some(head_len) = window.windows(4).position(|w| w == b"\r\n\r\n").map(|at| at + 2) else {
-        return if rest.len() >= max_head { Err(Fault::HeadTooLong(max_head)) } else { Ok(None) };
+        return if rest.len() >= max_head { Err(ParseError::HeadTooLong(max_head)) } else { Ok(None) };
     };
     let head = &rest[..head_len];
-    let all = lines.parse(head).map_err(|_| Fault::StartLine(show(head)))?;
-    let (first, fields) = all.split_first().ok_or_else(|| Fault::StartLine(String::new()))?;
+    let all = lines.parse(head).map_err(|_| ParseError::StartLine(show(head)))?;
+    let (first, fields) = all.split_first().ok_or_else(|| ParseError::StartLine(String::new()))?;
     let start = (|input: &mut _| start_line(version, input))
         .parse(first)
-        .map_err(|_| Fault::StartLine(show(first)))?;
+        .map_err(|_| ParseError::StartLine(show(first)))?;
     if fields.len() > MAX_HEADERS {
-        return Err(Fault::TooManyHeaders);
+        return Err(ParseError::TooManyHeaders);
     }
     let (mut headers, mut cseq, mut body_len) = (Headers::default(), None, 0u64);
     for (k, line) in fields.iter().enumerate() {
-        let bad = || Fault::Header(k + 1, show(line));
+        let bad = || ParseError::Header(k + 1, show(line));
         let (name, value) = header.parse(line).map_err(|_| bad())?;
         let name = std::str::from_utf8(name).map_err(|_| bad())?;
         let value = std::str::from_utf8(value).map_err(|_| bad())?.trim_end();
-        if name.eq_ignore_ascii_case(names::CSEQ) {
-            cseq = Some(value.parse().map_err(|_| Fault::CSeq)?);
-        } else if name.eq_ignore_ascii_case(names::CONTENT_LENGTH) {
-            body_len = value.parse().map_err(|_| Fault::ContentLength(value.to_owned()))?;
+        if name.eq_ignore_ascii_case(header_names::CSEQ) {
+            cseq = Some(value.parse().map_err(|_| ParseError::CSeq)?);
+        } else if name.eq_ignore_ascii_case(header_names::CONTENT_LENGTH) {
+            body_len = value.parse().map_err(|_| ParseError::ContentLength(value.to_owned()))?;
         } else {
             headers.0.push((name.to_owned(), value.to_owned()));
         }
     }
-    let cseq = cseq.or((version == Version::V1).then_some(0)).ok_or(Fault::CSeq)?;
+    let cseq = cseq.or((version == Version::V1).then_some(0)).ok_or(ParseError::CSeq)?;
     if body_len > max_body as u64 {
-        return Err(Fault::BodyTooLong(body_len, max_body));
+        return Err(ParseError::BodyTooLong(body_len, max_body));
     }
     let from = head_len + 2;
     let Some(body) = rest.get(from..from + body_len as usize).map(<[u8]>::to_vec) else { return Ok(None) };
     let message = match start {
         Start::Response(status @ 100..=599) => Response { status: status as u16, cseq, headers, body }.into(),
-        Start::Response(status) => return Err(Fault::Status(status)),
+        Start::Response(status) => return Err(ParseError::Status(status)),
         Start::Request(method, uri) => {
             let older = |m: &Method| matches!(m, Method::Announce | Method::Redirect);
             let spoken = Method::ALL.into_iter().filter(|m| version == Version::V1 || !older(m));
             let known = spoken.into_iter().find(|m| m.name().as_bytes() == method);
-            let method = known.ok_or_else(|| Fault::Method(show(method)))?;
+            let method = known.ok_or_else(|| ParseError::Method(show(method)))?;
             Request { method, uri: show_all(uri), cseq, headers, body }.into()
         }
     };
--- a/crates/kelpdoor-rtsp/src/values.rs
+++ b/crates/kelpdoor-rtsp/src/values.rs
@@ -5,7 +5,7 @@
 
 /// `Load-Report`: in answers, refreshed now and then by the node, so a little old and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReportHeader {
     /// Streams run or being set up.
     pub streams: Option<f64>,
     /// What is asked of the link over what it gives.
@@ -16,7 +16,7 @@
 
 /// `Asked`: in the answer to PLAY and in notices of `link-load`; read off the link itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Asked {
+pub struct LinkDemandHeader {
     pub link: Option<f64>,
     pub uplink: Option<f64>,
 }
@@ -38,9 +38,9 @@
     Ok(())
 }
 
-impl Load {
-    pub fn read(text: &str) -> Self {
-        let mut load = Load::default();
+impl LoadReportHeader {
+    pub fn parse(text: &str) -> Self {
+        let mut load = LoadReportHeader::default();
         for (name, value) in pairs(text) {
             match name {
                 "streams" => load.streams = Some(value),
@@ -53,20 +53,20 @@
     }
 }
 
-impl fmt::Display for Load {
+impl fmt::Display for LoadReportHeader {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         show(f, &[("streams", self.streams), ("link", self.link), ("uplink", self.uplink)])
     }
 }
 
-impl Asked {
-    pub fn read(text: &str) -> Self {
-        let load = Load::read(text);
-        Asked { link: load.link, uplink: load.uplink }
+impl LinkDemandHeader {
+    pub fn parse(text: &str) -> Self {
+        let load = LoadReportHeader::parse(text);
+        LinkDemandHeader { link: load.link, uplink: load.uplink }
     }
 }
 
-impl fmt::Display for Asked {
+impl fmt::Display for LinkDemandHeader {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         show(f, &[("link", self.link), ("uplink", self.uplink)])
     }
--- a/crates/kelpdoor-rtsp/tests/roundtrip.rs
+++ b/crates/kelpdoor-rtsp/tests/roundtrip.rs
@@ -36,7 +36,7 @@
         message.write_as(Version::V1, &mut bytes);
         let len = bytes.len();
         prop_assert_eq!(parse_as(Version::V1, &bytes), Ok(Some((message, len))));
-        prop_assert!(matches!(parse(&bytes), Err(Fault::StartLine(_))));
+        prop_assert!(matches!(parse(&bytes), Err(ParseError::StartLine(_))));
     }
 
     #[test]
@@ -45,7 +45,7 @@
         let mut bytes = Vec::new();
         request.write_as(Version::V1, &mut bytes);
         prop_assert_eq!(parse_as(Version::V1, &bytes).map(|m| m.map(|m| m.0)), Ok(Some(request.clone())));
-        prop_assert!(matches!(parse(&request.to_bytes()), Err(Fault::Method(_))));
+        prop_assert!(matches!(parse(&request.to_bytes()), Err(ParseError::Method(_))));
     }
 
     #[test]
@@ -74,11 +74,11 @@
 
     #[test]
     fn values_read_back(streams in 0..9999u32, link in 0.0..20.0f64, junk in "[ -~]{0,40}") {
-        let load = Load { streams: Some(streams.into()), link: Some(link), uplink: None };
-        let back = Load::read(&load.to_string());
+        let load = LoadReportHeader { streams: Some(streams.into()), link: Some(link), uplink: None };
+        let back = LoadReportHeader::parse(&load.to_string());
         prop_assert_eq!(back.streams, load.streams);
         prop_assert!((back.link.unwrap_or(-1.0) - link).abs() < 1e-3 && back.uplink.is_none());
-        let read = Load::read(&junk);
+        let read = LoadReportHeader::parse(&junk);
         prop_assert!(read.link.is_none_or(|v| v.is_finite() && v >= 0.0));
     }
 }
@@ -87,16 +87,16 @@
 fn each_limit_has_its_fault() {
     let long = format!("OPTIONS * RTSP/2.0\r\nCSeq: 1\r\nX: {}\r\n\r\n", "y".repeat(4096));
     let many = format!("OPTIONS * RTSP/2.0\r\nCSeq: 1\r\n{}\r\n", "X: y\r\n".repeat(MAX_HEADERS));
-    let cases: [(&str, Fault); 9] = [
-        (&long, Fault::HeadTooLong(4096)),
-        (&many, Fault::TooManyHeaders),
-        ("RTSP/2.0 200 OK\r\nCSeq: 1\r\nContent-Length: 4097\r\n\r\n", Fault::BodyTooLong(4097, 4096)),
-        ("RTSP/2.0 200 OK\r\nCSeq: 1\r\nContent-Length: -1\r\n\r\n", Fault::ContentLength("-1".into())),
-        ("RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n", Fault::StartLine("RTSP/1.0 200 OK".into())),
-        ("RTSP/2.0 777 OK\r\nCSeq: 1\r\n\r\n", Fault::Status(777)),
-        ("RECORD rtsp://a/b RTSP/2.0\r\nCSeq: 1\r\n\r\n", Fault::Method("RECORD".into())),
-        ("RTSP/2.0 200 OK\r\n\r\n", Fault::CSeq),
-        ("RTSP/2.0 200 OK\r\nCSeq: 1\r\nbad line\r\n\r\n", Fault::Header(2, "bad line".into())),
+    let cases: [(&str, ParseError); 9] = [
+        (&long, ParseError::HeadTooLong(4096)),
+        (&many, ParseError::TooManyHeaders),
+        ("RTSP/2.0 200 OK\r\nCSeq: 1\r\nContent-Length: 4097\r\n\r\n", ParseError::BodyTooLong(4097, 4096)),
+        ("RTSP/2.0 200 OK\r\nCSeq: 1\r\nContent-Length: -1\r\n\r\n", ParseError::ContentLength("-1".into())),
+        ("RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n", ParseError::StartLine("RTSP/1.0 200 OK".into())),
+        ("RTSP/2.0 777 OK\r\nCSeq: 1\r\n\r\n", ParseError::Status(777)),
+        ("RECORD rtsp://a/b RTSP/2.0\r\nCSeq: 1\r\n\r\n", ParseError::Method("RECORD".into())),
+        ("RTSP/2.0 200 OK\r\n\r\n", ParseError::CSeq),
+        ("RTSP/2.0 200 OK\r\nCSeq: 1\r\nbad line\r\n\r\n", ParseError::Header(2, "bad line".into())),
     ];
     for (text, fault) in cases {
         assert_eq!(parse(text.as_bytes()), Err(fault), "{:.60}", text);
