--- a/crates/kelpdoor-benchlink/src/decode.rs
+++ b/crates/kelpdoor-benchlink/src/decode.rs
@@ -93,7 +93,7 @@
         }
         257 => {
             let text = tail_part(r, 10, 1, tail)?;
-            let (terms, report) = kelpdoor_terms::read(text).context("the settings")?;
+            let (terms, report) = kelpdoor_terms::parse_terms(text).context("the settings")?;
             Indication::Start { seed: r.u64(2)?, terms: Box::new(terms), report }
         }
         258 => {
@@ -109,13 +109,13 @@
         267 => {
             let (node, how, load) = (NodeId(r.u32(2)?), ending(r.u8(6)?)?, gauge(r, 15)?);
             Indication::Came(Box::new(move |round, report| {
-                round.probed.push((node, how, report.report(&load)));
+                round.probed.push((node, how, report.load_report(&load)));
             }))
         }
         263 => {
             let (ended, load) = ended(r)?;
             Indication::Came(Box::new(move |round, report| {
-                round.ended.push(Ended { load: report.report(&load), ..ended });
+                round.ended.push(Ended { load: report.load_report(&load), ..ended });
             }))
         }
         264 => {
--- a/crates/kelpdoor-platform/src/exchange.rs
+++ b/crates/kelpdoor-platform/src/exchange.rs
@@ -18,7 +18,7 @@
 use kelpdoor::{Director, Orders, Round};
 use kelpdoor_parts::{Due, Timers};
 use kelpdoor_rtsp::Message;
-use kelpdoor_terms::{Named, ReportFields};
+use kelpdoor_terms::{ReportFields, SettingsNames};
 
 use crate::changes::{Change, Host};
 use crate::media::{self, Note};
@@ -247,7 +247,7 @@
 struct Hands {
     now: f64,
     wake: Option<f64>,
-    named: Named,
+    named: SettingsNames,
     report: ReportFields,
     cells: u16,
     racks: u32,
@@ -320,7 +320,11 @@
             timers: Timers::default(),
             next_sweep: now,
             next_link: 0,
-            link_stale: if start.named.idle > 0.0 { LINK_STALE * start.named.idle } else { f64::INFINITY },
+            link_stale: if start.named.idle_timeout > 0.0 {
+                LINK_STALE * start.named.idle_timeout
+            } else {
+                f64::INFINITY
+            },
             most_viewers: room / 2,
             most_links: room - room / 2,
             most_standing: start.memory / STANDING.0 / STANDING.1,
--- a/crates/kelpdoor-platform/src/exchange/tests.rs
+++ b/crates/kelpdoor-platform/src/exchange/tests.rs
@@ -5,7 +5,7 @@
 fn start() -> Start {
     let text = r#"{"profiles":[{"name":"c"}],"specifics":{"ratesKb":[1.0],"levelWorth":[1.0],"cells":1}}"#;
     let settings = serde_json::from_str(text).expect("JSON");
-    let (terms, report) = kelpdoor_terms::terms(&settings).expect("settings");
+    let (terms, report) = kelpdoor_terms::read_terms(&settings).expect("settings");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     Start {
         file: "none".into(),
@@ -19,7 +19,7 @@
         known_to: 0,
         terms,
         report,
-        named: kelpdoor_terms::named(&settings).expect("settings"),
+        named: kelpdoor_terms::read_names(&settings).expect("settings"),
     }
 }
 
--- a/crates/kelpdoor-platform/src/media.rs
+++ b/crates/kelpdoor-platform/src/media.rs
@@ -75,7 +75,7 @@
 
 fn load(headers: &Headers, fields: &ReportFields) -> LoadReport {
     let Some(text) = headers.get("X-Gauges") else { return LoadReport::default() };
-    fields.by_name(|name| {
+    fields.load_report_by_name(|name| {
         let value = text.split(';').filter_map(|p| p.split_once(':')).find(|(n, _)| n.trim() == name)?.1;
         value.trim().parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)
     })
--- a/crates/kelpdoor-platform/src/start.rs
+++ b/crates/kelpdoor-platform/src/start.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use kelpdoor::Terms;
-use kelpdoor_terms::{Named, ReportFields};
+use kelpdoor_terms::{ReportFields, SettingsNames};
 use serde_json::Value;
 
 use crate::changes::{Change, read_known};
@@ -46,7 +46,7 @@
     pub known_to: u64,
     pub terms: Terms,
     pub report: ReportFields,
-    pub named: Named,
+    pub named: SettingsNames,
 }
 
 fn address(value: &Value, key: &str) -> Result<SocketAddr, StartFault> {
@@ -93,8 +93,8 @@
         };
         let (sockets, memory) = (limit("sockets", LEAST_SOCKETS)?, limit("memory_mb", LEAST_MEMORY)?);
         let bad = |e| StartFault(format!("settings: {e:#}"));
-        let (terms, report) = kelpdoor_terms::terms(&root["settings"]).map_err(bad)?;
-        let named = kelpdoor_terms::named(&root["settings"]).map_err(bad)?;
+        let (terms, report) = kelpdoor_terms::read_terms(&root["settings"]).map_err(bad)?;
+        let named = kelpdoor_terms::read_names(&root["settings"]).map_err(bad)?;
         if named.groups.is_empty() {
             return fault("settings: no classes");
         }
--- a/crates/kelpdoor-platform/tests/common/mod.rs
+++ b/crates/kelpdoor-platform/tests/common/mod.rs
@@ -52,7 +52,7 @@
         let hosts: Vec<_> = (1..=nodes).map(|n| host(n, "up")).collect();
         let known = json!({"seq": 1, "results": [{"seq": 1, "fleet": {"whole": true, "hosts": hosts}}]});
         let (known, known_to) = changes::read_known(&known).expect("good events");
-        let (terms, report) = kelpdoor_terms::terms(&settings()).expect("good settings");
+        let (terms, report) = kelpdoor_terms::read_terms(&settings()).expect("good settings");
         let start = Start {
             file: "none".into(),
             name: "n0".into(),
@@ -65,7 +65,7 @@
             known_to,
             terms,
             report,
-            named: kelpdoor_terms::named(&settings()).expect("good settings"),
+            named: kelpdoor_terms::read_names(&settings()).expect("good settings"),
         };
         let mut story = Story { exchange: Exchange::new(&start, 1000.0), now: 1000.0, trace: String::new() };
         story.pass(10.0);
--- a/crates/kelpdoor-terms/src/at.rs
+++ b/crates/kelpdoor-terms/src/cursor.rs
@@ -10,15 +10,15 @@
 
 /// A place in the settings. `null` stands for nothing, as absence does.
 #[derive(Clone)]
-pub struct At<'a> {
+pub struct JsonCursor<'a> {
     value: &'a Value,
     path: String,
 }
 
-impl<'a> At<'a> {
+impl<'a> JsonCursor<'a> {
     pub fn root(value: &'a Value) -> Result<Self> {
         ensure!(value.is_object(), "not a JSON object");
-        Ok(At { value, path: String::new() })
+        Ok(JsonCursor { value, path: String::new() })
     }
 
     fn fault<T>(&self, wanted: &str) -> Result<T> {
@@ -28,14 +28,14 @@
         bail!("{}: {shown}{cut} is {wanted}", self.path)
     }
 
-    pub fn to(&self, key: &str) -> Result<At<'a>> {
+    pub fn to(&self, key: &str) -> Result<JsonCursor<'a>> {
         let value = match self.value {
             Value::Object(members) => members.get(key).unwrap_or(&Value::Null),
             Value::Null => &Value::Null,
             _ => return self.fault("no object"),
         };
         let path = if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) };
-        Ok(At { value, path })
+        Ok(JsonCursor { value, path })
     }
 
     /// A number within that range.
@@ -87,11 +87,11 @@
     }
 
     /// Empty when absent.
-    pub fn list(&self) -> Result<Vec<At<'a>>> {
+    pub fn list(&self) -> Result<Vec<JsonCursor<'a>>> {
         match self.value {
             Value::Null => Ok(Vec::new()),
             Value::Array(all) => {
-                let place = |(i, value)| At { value, path: format!("{}[{i}]", self.path) };
+                let place = |(i, value)| JsonCursor { value, path: format!("{}[{i}]", self.path) };
                 Ok(all.iter().enumerate().map(place).collect())
             }
             _ => self.fault("no list"),
@@ -107,6 +107,6 @@
     }
 
     pub fn words(&self) -> Result<Vec<String>> {
-        self.list()?.iter().map(At::word).collect()
+        self.list()?.iter().map(JsonCursor::word).collect()
     }
 }
--- a/crates/kelpdoor-terms/src/lib.rs
+++ b/crates/kelpdoor-terms/src/lib.rs
@@ -2,7 +2,7 @@
 //! alike. Unknown keys are skipped; an absent one takes the meaning of its absence; one of the wrong type or outside its
 //! meaning is an error that names it.
 
-mod at;
+mod cursor;
 mod report;
 
 use anyhow::{Context, Result, ensure};
@@ -10,38 +10,38 @@
 use kelpdoor::terms::{FurtherBudget, GroupTerms, Reach, Repeat};
 use serde_json::Value;
 
-use crate::at::At;
+use crate::cursor::JsonCursor;
 
 pub use report::ReportFields;
 
 /// Names that the settings give, each list in the order of the indices that stand for them, and what the terms have no
 /// use for. Times are seconds.
 #[derive(Clone, Debug, Default)]
-pub struct Named {
+pub struct SettingsNames {
     pub groups: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// A connection to a node that is not up by then has failed.
     pub connect_timeout: f64,
     /// Nodes close a connection that is idle for so long; 0: never.
-    pub idle: f64,
+    pub idle_timeout: f64,
 }
 
 /// The names in the settings, and the limits on connections.
 ///
 /// # Errors
-/// As [`terms`].
-pub fn named(root: &Value) -> Result<Named> {
-    let root = At::root(root)?;
+/// As [`read_terms`].
+pub fn read_names(root: &Value) -> Result<SettingsNames> {
+    let root = JsonCursor::root(root)?;
     let names = |key: &str| root.to(key)?.words();
     let allowed = root.to("allowed")?;
     let groups = root.to("profiles")?.list()?;
-    Ok(Named {
+    Ok(SettingsNames {
         groups: groups.iter().map(|p| p.to("name")?.word()).collect::<Result<_>>()?,
         zones: names("zones")?,
         kinds: names("kinds")?,
         connect_timeout: allowed.to("connectTimeoutMs")?.seconds()?,
-        idle: allowed.to("connIdleMs")?.seconds()?,
+        idle_timeout: allowed.to("connIdleMs")?.seconds()?,
     })
 }
 
@@ -51,17 +51,17 @@
 /// The terms in a text of JSON, and the fields of load reports.
 ///
 /// # Errors
-/// Where the text is no JSON, or as [`terms`].
-pub fn read(text: &[u8]) -> Result<(Terms, ReportFields)> {
-    terms(&serde_json::from_slice(text).context("not readable as JSON")?)
+/// Where the text is no JSON, or as [`read_terms`].
+pub fn parse_terms(text: &[u8]) -> Result<(Terms, ReportFields)> {
+    read_terms(&serde_json::from_slice(text).context("not readable as JSON")?)
 }
 
-/// As [`read`], of JSON that is read already.
+/// As [`parse_terms`], of JSON that is read already.
 ///
 /// # Errors
 /// Where it is no object, or a key has the wrong type or a value outside its meaning: the text names the key.
-pub fn terms(root: &Value) -> Result<(Terms, ReportFields)> {
-    let root = At::root(root)?;
+pub fn read_terms(root: &Value) -> Result<(Terms, ReportFields)> {
+    let root = JsonCursor::root(root)?;
     let (facts, rules, allowed) = (root.to("specifics")?, root.to("rules")?, root.to("allowed")?);
     let ladder = facts.to("ratesKb")?.nums(0.0..=f64::MAX)?;
     ensure!(
@@ -79,11 +79,11 @@
     let (floors, tops, seats) = (floors?, tops?, seats?);
     let scales = facts.to("scaleByClass")?.nums(0.0..=f64::MAX)?;
     let join = facts.to("join")?.num(0.0..=1.0)?.unwrap_or(1.0);
-    let live = facts.to("live")?.list()?.iter().map(At::yes).collect::<Result<Vec<_>>>()?;
+    let live = facts.to("live")?.list()?.iter().map(JsonCursor::yes).collect::<Result<Vec<_>>>()?;
     let refuses_from = facts.to("refusesFrom")?.num(0.0..=f64::MAX)?.filter(|&full| full > 0.0);
     let profiles = root.to("profiles")?.list()?;
     ensure!(profiles.len() <= MOST, "profiles: more than {MOST} classes");
-    let group = |(i, p): (usize, &At)| -> Result<GroupTerms> {
+    let group = |(i, p): (usize, &JsonCursor)| -> Result<GroupTerms> {
         Ok(GroupTerms {
             start_target: p.to("promiseMs")?.seconds()?,
             utility: p.to("credit")?.num(0.0..=f64::MAX)?.unwrap_or(1.0),
@@ -116,8 +116,8 @@
         ["", "push", "ask"].contains(&discovery.word()?.as_str()),
         "discovery: neither \"push\" nor \"ask\""
     );
-    let share = |place: At| place.num(0.0..=1.0);
-    let amount = |place: At| Ok::<_, anyhow::Error>(place.num(0.0..=f64::MAX)?.unwrap_or(0.0));
+    let share = |place: JsonCursor| place.num(0.0..=1.0);
+    let amount = |place: JsonCursor| Ok::<_, anyhow::Error>(place.num(0.0..=f64::MAX)?.unwrap_or(0.0));
     let terms = Terms {
         me,
         directors: directors as u32,
--- a/crates/kelpdoor-terms/src/tests.rs
+++ b/crates/kelpdoor-terms/src/tests.rs
@@ -26,22 +26,22 @@
 }
 
 fn said(settings: &Value) -> String {
-    let read = terms(settings).map(|_| ()).and_then(|()| named(settings).map(|_| ()));
+    let read = read_terms(settings).map(|_| ()).and_then(|()| read_names(settings).map(|_| ()));
     read.map_or_else(|e| format!("{e:#}"), |()| "good".into())
 }
 
 #[test]
 fn each_key_present_is_read() {
-    let (terms, report) = terms(&good()).expect("good settings");
-    expect![[r#"Terms { me: 1, directors: 3, zone: 1, groups: [GroupTerms { start_target: 1.5, utility: 2.0, repeat: Within(Zone), repeat_window: 5.0, floor: 1, top: 1, scale: 1.4, seats: 2, join: 0.25 }], ladder: [120.0, 221.0], rung_utility: [0.3, 1.0], places_by_kind: [39.0], cells: 12, racks: 2, link_unit: 1908.0, rack_uplink: 36230.0, seen_after: 1.0, refuses_from: Some(1.2), told_every: 3.25, switch_cost: 0.8, cross_zone_price: 0.02, max_setups: 5, may_withdraw: true, come_back: Some(1.5), cold_from: 0.4, warm_within: 12.0, tip_multiple: 4.0, fall_window: 3.0, further: Some(FurtherBudget { free: 3.0, per_taken: 0.2, span: 5.0 }), ask_list: true, uplinks_told: true } ReportFields(["x0", "x1"]) Ok(Named { groups: ["lecture"], zones: ["a", "b"], kinds: ["box"], connect_timeout: 0.25, idle: 30.0 })"#]]
-    .assert_eq(&format!("{terms:?} {report:?} {:?}", named(&good())));
+    let (terms, report) = read_terms(&good()).expect("good settings");
+    expect![[r#"Terms { me: 1, directors: 3, zone: 1, groups: [GroupTerms { start_target: 1.5, utility: 2.0, repeat: Within(Zone), repeat_window: 5.0, floor: 1, top: 1, scale: 1.4, seats: 2, join: 0.25 }], ladder: [120.0, 221.0], rung_utility: [0.3, 1.0], places_by_kind: [39.0], cells: 12, racks: 2, link_unit: 1908.0, rack_uplink: 36230.0, seen_after: 1.0, refuses_from: Some(1.2), told_every: 3.25, switch_cost: 0.8, cross_zone_price: 0.02, max_setups: 5, may_withdraw: true, come_back: Some(1.5), cold_from: 0.4, warm_within: 12.0, tip_multiple: 4.0, fall_window: 3.0, further: Some(FurtherBudget { free: 3.0, per_taken: 0.2, span: 5.0 }), ask_list: true, uplinks_told: true } ReportFields(["x0", "x1"]) Ok(SettingsNames { groups: ["lecture"], zones: ["a", "b"], kinds: ["box"], connect_timeout: 0.25, idle_timeout: 30.0 })"#]]
+    .assert_eq(&format!("{terms:?} {report:?} {:?}", read_names(&good())));
 }
 
 /// The settings without one key, for each key that may be absent.
 #[test]
 fn each_key_absent_takes_the_meaning_of_its_absence() {
     let least = json!({"profiles": [{}], "specifics": {"ratesKb": [120.0], "levelWorth": [1.0]}});
-    let (terms, report) = terms(&least).expect("enough");
+    let (terms, report) = read_terms(&least).expect("enough");
     expect!["Terms { me: 0, directors: 1, zone: 0, groups: [GroupTerms { start_target: 0.0, utility: 1.0, repeat: Never, repeat_window: 0.0, floor: 0, top: 255, scale: 1.0, seats: 0, join: 1.0 }], ladder: [120.0], rung_utility: [1.0], places_by_kind: [], cells: 1, racks: 1, link_unit: 0.0, rack_uplink: 0.0, seen_after: 0.0, refuses_from: None, told_every: 0.0, switch_cost: 0.0, cross_zone_price: 0.0, max_setups: 1, may_withdraw: false, come_back: None, cold_from: 0.0, warm_within: 0.0, tip_multiple: 0.0, fall_window: 0.0, further: None, ask_list: false, uplinks_told: false } ReportFields([])"]
     .assert_eq(&format!("{terms:?} {report:?}"));
     let mut null = least.clone();
