--- a/crates/kelpdoor-agreement/src/keys.rs
+++ b/crates/kelpdoor-agreement/src/keys.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use kelpdoor_script::{
-    AgreedNode, AgreedTitle, Deployment, Directors, Fault, Fleet, Further, Group, Keeper, Ladder, Lists, Own,
-    School, Shared, Tokens, Voters,
+    AgreedNode, AgreedSettings, AgreedTitle, Deployment, Directors, Fleet, Further, Group, Keeper, Ladder,
+    Lists, LocalSettings, School, SettingsError, Tokens, Voters,
 };
 
 use crate::follower::Rules;
@@ -368,13 +368,14 @@
 }
 
 /// What is acted on while both versions may be, and every key that differs.
-pub fn both(old: &Shared, new: &Shared) -> (Shared, Vec<Change>) {
+pub fn both(old: &AgreedSettings, new: &AgreedSettings) -> (AgreedSettings, Vec<Change>) {
     let mut w = Walk { changes: Vec::new(), within: String::new() };
-    let Shared { ladder, groups, fleet, further, directors, voters, lists, schools, tokens, keeper } = new;
+    let AgreedSettings { ladder, groups, fleet, further, directors, voters, lists, schools, tokens, keeper } =
+        new;
     let names = |groups: &[Group]| groups.iter().map(|g| g.name.clone()).collect::<Vec<_>>();
     // Groups are known by their place.
     w.fixed("groups", &names(&old.groups), &names(groups));
-    let merged = Shared {
+    let merged = AgreedSettings {
         ladder: w.ladder(&old.ladder, ladder),
         groups: old.groups.iter().zip(groups).map(|(o, n)| w.group(o, n)).collect(),
         fleet: w.fleet(&old.fleet, fleet),
@@ -393,7 +394,7 @@
 ///
 /// # Errors
 /// The first reason against it, naming the key. `sure` passes over the reasons that ask for a word.
-pub fn may_follow(old: &Shared, new: &Shared, sure: bool) -> Result<Vec<Change>, String> {
+pub fn may_follow(old: &AgreedSettings, new: &AgreedSettings, sure: bool) -> Result<Vec<Change>, String> {
     let (_, changes) = both(old, new);
     if let Some(c) = changes.iter().find(|c| c.class == Class::Fixed) {
         return Err(format!("{}: it cannot change while the fleet runs, from {} to {}", c.key, c.old, c.new));
@@ -433,7 +434,7 @@
 #[derive(Clone, Debug)]
 pub struct Acted {
     /// What all share.
-    shared: Shared,
+    shared: AgreedSettings,
     /// With the director's own, of the newest version; what all share stands above.
     book: Arc<Deployment>,
     /// The newest version names this director.
@@ -445,7 +446,7 @@
 impl Acted {
     pub fn book(&self) -> Deployment {
         let mut book = Deployment::clone(&self.book);
-        let Shared {
+        let AgreedSettings {
             ladder,
             groups,
             fleet,
@@ -466,10 +467,10 @@
 }
 
 impl Rules for Acted {
-    type Own = Own;
+    type Own = LocalSettings;
 
-    fn read(own: &Own, text: &str) -> Result<Self, String> {
-        let (book, shared, listed) = own.under(text).map_err(|faults| first(&faults))?;
+    fn read(own: &LocalSettings, text: &str) -> Result<Self, String> {
+        let (book, shared, listed) = own.merge_document(text).map_err(|faults| first(&faults))?;
         let names = &shared.directors.names;
         let at = names.iter().position(|n| *n == own.agreement.name).map(|at| at as u32);
         let turns = numbering(&[(at, names.len() as u32)]);
@@ -502,7 +503,7 @@
 /// The schools that a keeper of seats goes by: the newest version's, for nobody else counts them.
 #[derive(Clone, Debug)]
 pub struct Sold {
-    shared: Arc<Shared>,
+    shared: Arc<AgreedSettings>,
 }
 
 impl Sold {
@@ -515,7 +516,7 @@
     type Own = ();
 
     fn read((): &(), text: &str) -> Result<Self, String> {
-        let shared = Shared::run("the document", text).map_err(|faults| first(&faults))?;
+        let shared = AgreedSettings::parse("the document", text).map_err(|faults| first(&faults))?;
         Ok(Sold { shared: Arc::new(shared) })
     }
 
@@ -536,7 +537,7 @@
     }
 }
 
-fn first(faults: &[Fault]) -> String {
+fn first(faults: &[SettingsError]) -> String {
     faults.first().map_or_else(|| "a fault".to_owned(), ToString::to_string)
 }
 
--- a/crates/kelpdoor-agreement/tests/table.rs
+++ b/crates/kelpdoor-agreement/tests/table.rs
@@ -7,7 +7,7 @@
 use kelpdoor_agreement::{
     Ask, Ballot, Chosen, Durable, Follower, Out, Tell, Value, Voter, VoterId, Wants, Word,
 };
-use kelpdoor_script::Shared;
+use kelpdoor_script::AgreedSettings;
 use texts::{READING, Texts};
 
 const FOUNDERS: [VoterId; 3] = [VoterId(0), VoterId(1), VoterId(2)];
@@ -485,13 +485,13 @@
 voters(at = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"])
 "#;
 
-fn document(changes: &[(&str, &str)]) -> Shared {
+fn document(changes: &[(&str, &str)]) -> AgreedSettings {
     let mut text = DOCUMENT.to_owned();
     for (old, new) in changes {
         assert!(text.contains(old), "{old}");
         text = text.replace(old, new);
     }
-    Shared::run("document", &text).unwrap_or_else(|f| panic!("{f:?}"))
+    AgreedSettings::parse("document", &text).unwrap_or_else(|f| panic!("{f:?}"))
 }
 
 #[test]
@@ -577,7 +577,7 @@
             assert!(text.contains(old), "{k} {old}");
             text = text.replace(old, new);
         }
-        Shared::run("document", &text).unwrap_or_else(|f| panic!("{f:?}"))
+        AgreedSettings::parse("document", &text).unwrap_or_else(|f| panic!("{f:?}"))
     };
     let mut rng = fastrand::Rng::with_seed(3);
     let listed = format!("{DOCUMENT}{LISTS}");
@@ -606,7 +606,7 @@
             assert!(text.contains(old), "{old}");
             text = text.replace(old, new);
         }
-        Shared::run("document", &text).unwrap_or_else(|f| panic!("{f:?}"))
+        AgreedSettings::parse("document", &text).unwrap_or_else(|f| panic!("{f:?}"))
     };
     let old = with(&[]);
     let new = with(&[
@@ -646,7 +646,7 @@
     let gone = [("cell = 0)", "cell = 0, drain = True)"), ("cell = 1)", "cell = 1, drain = True)")];
     expect!["node: 1 of 3 nodes would be left to use; say --sure if so"].assert_eq(&refused(&gone));
     assert!(may_follow(&old, &with(&gone), true).is_ok());
-    let bad = Shared::run(
+    let bad = AgreedSettings::parse(
         "document",
         &format!("{DOCUMENT}{LISTS}node(3, zone = \"south\", kind = \"box\", cell = 9)\n"),
     );
@@ -662,7 +662,7 @@
 #[test]
 fn schools_are_counted_by_one_keeper_and_change_at_once() {
     let with = |lines: &str| {
-        Shared::run("document", &format!("{DOCUMENT}{lines}")).unwrap_or_else(|f| panic!("{f:?}"))
+        AgreedSettings::parse("document", &format!("{DOCUMENT}{lines}")).unwrap_or_else(|f| panic!("{f:?}"))
     };
     let old = with("school(\"olaf\", seats = 3)\nschool(\"olaf\", seats = 2, seat_class = \"teacher\")\n");
     let new = with("school(\"olaf\", seats = 5)\n");
--- a/crates/kelpdoor-director/src/following.rs
+++ b/crates/kelpdoor-director/src/following.rs
@@ -9,7 +9,7 @@
 use kelpdoor_agreement::{Chosen, Follower, Rules, VoterId};
 use kelpdoor_clock::Steady;
 use kelpdoor_keeper::{Heard, Lines, addresses};
-use kelpdoor_script::{Agreement, Deployment, Own};
+use kelpdoor_script::{Agreement, Deployment, LocalSettings};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     /// As there.
-    pub async fn start(own: Own) -> anyhow::Result<(Following, Deployment)> {
+    pub async fn start(own: LocalSettings) -> anyhow::Result<(Following, Deployment)> {
         let book = |a: &Acted| (a.book(), a.listed);
         let following = Following::reading(own.agreement.clone(), own, book).await?;
         let book = Deployment::clone(&following.ruling().book);
--- a/crates/kelpdoor-director/tests/common/mod.rs
+++ b/crates/kelpdoor-director/tests/common/mod.rs
@@ -26,7 +26,7 @@
 roster(address = "127.0.0.1:1")
 players(resume_for = 5, remember = 10)
 "#;
-    Deployment::run("test", text).expect("good settings")
+    Deployment::parse("test", text).expect("good settings")
 }
 
 pub fn listed(id: u32, phase: Phase) -> RosterNode {
--- a/crates/kelpdoor-director/tests/following.rs
+++ b/crates/kelpdoor-director/tests/following.rs
@@ -8,7 +8,7 @@
 use kelpdoor_clock::Steady;
 use kelpdoor_director::{Following, Ruling};
 use kelpdoor_keeper::{RunningVoter, VoterOptions, start_voter};
-use kelpdoor_script::Own;
+use kelpdoor_script::LocalSettings;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
@@ -71,7 +71,7 @@
     panic!("never agreed");
 }
 
-fn own(dir: &Path, name: &str, voters: &[SocketAddr]) -> Own {
+fn own(dir: &Path, name: &str, voters: &[SocketAddr]) -> LocalSettings {
     let path = dir.join(format!("{name}.star"));
     let list: Vec<String> = voters.iter().map(|v| format!("{:?}", v.to_string())).collect();
     let text = format!(
@@ -81,7 +81,7 @@
         dir.join(format!("{name}.rules")).display().to_string(),
     );
     std::fs::write(&path, text).unwrap();
-    Own::read(&path).unwrap().expect("with an agreement")
+    LocalSettings::read(&path).unwrap().expect("with an agreement")
 }
 
 /// Waits until what may be acted on is as wanted.
--- a/crates/kelpdoor-keeper/src/voter.rs
+++ b/crates/kelpdoor-keeper/src/voter.rs
@@ -13,7 +13,7 @@
     Ask, Durable, MAX_DOCUMENT, MAX_LINE, Out, Reading, Tell, Voter, VoterId, Word, lease_of,
 };
 use kelpdoor_clock::Steady;
-use kelpdoor_script::{Fault, Shared};
+use kelpdoor_script::{AgreedSettings, SettingsError};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, JoinSet};
@@ -62,14 +62,14 @@
 const READ: usize = 4;
 /// What was read last, the newest first: a voter looks at one document several times on its way to be agreed, and reading
 /// one of 200 KB takes tens of ms.
-static LAST_READ: Mutex<Vec<(String, Arc<Shared>)>> = Mutex::new(Vec::new());
+static LAST_READ: Mutex<Vec<(String, Arc<AgreedSettings>)>> = Mutex::new(Vec::new());
 
 /// What a document says, read once while it is among the last.
 ///
 /// # Errors
 /// Every fault found.
-pub fn read(text: &str) -> Result<Arc<Shared>, Vec<Fault>> {
-    let find = |of: &mut Vec<(String, Arc<Shared>)>| {
+pub fn read(text: &str) -> Result<Arc<AgreedSettings>, Vec<SettingsError>> {
+    let find = |of: &mut Vec<(String, Arc<AgreedSettings>)>| {
         let at = of.iter().position(|(known, _)| known == text)?;
         let found = of.remove(at);
         of.insert(0, found);
@@ -78,7 +78,7 @@
     if let Some(known) = LAST_READ.lock().ok().and_then(|mut of| find(&mut of)) {
         return Ok(known);
     }
-    let read = Arc::new(Shared::run("the document", text)?);
+    let read = Arc::new(AgreedSettings::parse("the document", text)?);
     if let Ok(mut of) = LAST_READ.lock() {
         of.insert(0, (text.to_owned(), read.clone()));
         of.truncate(READ);
@@ -393,7 +393,7 @@
         if text.len() > MAX_DOCUMENT {
             return Err(format!("the document has {} bytes, {MAX_DOCUMENT} at most", text.len()));
         }
-        let faults = |f: Vec<Fault>| f.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n");
+        let faults = |f: Vec<SettingsError>| f.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n");
         let new = read(text).map_err(faults)?;
         let Some(newest) = self.voter.newest().filter(|c| c.number == after) else { return Ok(()) };
         let old = read(&newest.value.text).map_err(faults)?;
--- a/crates/kelpdoor-lab/src/fleet.rs
+++ b/crates/kelpdoor-lab/src/fleet.rs
@@ -134,7 +134,7 @@
         let roster = Roster::new(titles, size.roster_lag, recorder.clone());
         // The settings as the checker reads them; the director's own lines do not matter there.
         let any = director_script(shared, size, 0, roster_at, Path::new("list"));
-        let book = Deployment::run("settings", &any)
+        let book = Deployment::parse("settings", &any)
             .map_err(|f| anyhow::anyhow!(f.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")))?;
         recorder.put(What::Settings { text: serde_json::to_string(&book)? });
         let f = &book.fleet;
--- a/crates/kelpdoor-lab/src/scale/plan/limits.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/limits.rs
@@ -3,7 +3,7 @@
 use kelpdoor_agreement::{MAX_DOCUMENT, NAMES};
 use kelpdoor_director::{MAX_LINE, MAX_NODES, MAX_TITLES, Phase, RosterNode};
 use kelpdoor_keeper::{CONNS, DIRECTORS};
-use kelpdoor_script::{CONTRADICTION, MAX_ZONES, MOST_BY_NUMBER, MOST_DIRECTORS, Players};
+use kelpdoor_script::{MAX_CONTRADICTION, MAX_DIRECTORS, MAX_NUMBERED_DIRECTORS, MAX_ZONES, Players};
 
 use super::roles::{Against, ROWS, named};
 use super::show::{figure, number, table as show};
@@ -61,15 +61,15 @@
     let line = MAX_LINE as f64 / node_bytes();
     let bytes = format!("limit in the code ({MAX_LINE} B a line), worked out at {} B a node", node_bytes());
     vec![
-        of("names of directors in an agreed document", MOST_DIRECTORS as f64, t.directors, "directors", code),
+        of("names of directors in an agreed document", MAX_DIRECTORS as f64, t.directors, "directors", code),
         of("connections to a voter", CONNS as f64, t.directors, "directors", code),
         of("connections to the keeper of seats", CONNS as f64, t.directors, "directors", code),
         of("directors that a voter knows by name", NAMES as f64, t.directors, "directors", code),
-        of("directors by number", f64::from(MOST_BY_NUMBER), t.directors, "directors", code),
+        of("directors by number", f64::from(MAX_NUMBERED_DIRECTORS), t.directors, "directors", code),
         of("directors at the keeper of seats", DIRECTORS as f64, t.directors, "directors", code),
         of(
             "longest contradiction that a document may state",
-            CONTRADICTION.1,
+            MAX_CONTRADICTION,
             aim.assume.contradiction,
             "s",
             code,
--- a/crates/kelpdoor-lab/src/scale/target.rs
+++ b/crates/kelpdoor-lab/src/scale/target.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use kelpdoor_script::{Call, Fault, Place, TARGET};
+use kelpdoor_script::{Call, SettingsError, SourcePosition, TARGET_BUILTINS};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -94,22 +94,23 @@
 struct Reader<'a> {
     file: &'a str,
     calls: &'a [Call],
-    faults: Vec<Fault>,
+    faults: Vec<SettingsError>,
 }
 
 impl Reader<'_> {
     fn one<T: DeserializeOwned>(&mut self, word: &str, needed: bool) -> Option<(T, Call)> {
-        let mut of = self.calls.iter().filter(|c| c.word == word);
+        let mut of = self.calls.iter().filter(|c| c.builtin == word);
         let Some(call) = of.next() else {
             if needed {
-                let (file, at) = (self.file.to_owned(), Place::default());
-                self.faults.push(Fault { file, at, what: format!("{word}(..) is missing") });
+                let (file, pos) = (self.file.to_owned(), SourcePosition::default());
+                self.faults.push(SettingsError { file, pos, message: format!("{word}(..) is missing") });
             }
             return None;
         };
-        let again: Vec<Fault> = of.map(|c| c.fault(self.file, format!("{word}(..) stands twice"))).collect();
+        let again: Vec<SettingsError> =
+            of.map(|c| c.error(self.file, format!("{word}(..) stands twice"))).collect();
         self.faults.extend(again);
-        match call.to(self.file) {
+        match call.parse_args(self.file) {
             Ok(value) => Some((value, call.clone())),
             Err(fault) => {
                 self.faults.push(fault);
@@ -120,7 +121,7 @@
 
     fn check(&mut self, call: &Call, good: bool, what: &str) {
         if !good {
-            self.faults.push(call.fault(self.file, format!("{}: {what}", call.word)));
+            self.faults.push(call.error(self.file, format!("{}: {what}", call.builtin)));
         }
     }
 
@@ -144,17 +145,17 @@
 impl Aim {
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn run(file: &str, text: &str) -> Result<Aim, Vec<Fault>> {
-        Aim::of(file, &kelpdoor_script::run(file, text, TARGET)?)
+    pub fn run(file: &str, text: &str) -> Result<Aim, Vec<SettingsError>> {
+        Aim::of(file, &kelpdoor_script::evaluate(file, text, TARGET_BUILTINS)?)
     }
 
     /// # Errors
     /// Every fault found, each with its place, and where the file cannot be read.
-    pub fn read(path: &Path) -> Result<Aim, Vec<Fault>> {
-        Aim::of(&path.display().to_string(), &kelpdoor_script::read(path, TARGET)?)
+    pub fn read(path: &Path) -> Result<Aim, Vec<SettingsError>> {
+        Aim::of(&path.display().to_string(), &kelpdoor_script::evaluate_file(path, TARGET_BUILTINS)?)
     }
 
-    fn of(file: &str, calls: &[Call]) -> Result<Aim, Vec<Fault>> {
+    fn of(file: &str, calls: &[Call]) -> Result<Aim, Vec<SettingsError>> {
         let mut r = Reader { file, calls, faults: Vec::new() };
         let target = r.one::<Target>("target", true);
         let budget = r.one::<Budget>("budget", true);
--- a/crates/kelpdoor-lab/src/trouble.rs
+++ b/crates/kelpdoor-lab/src/trouble.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use kelpdoor_script::{Call, Fault, TROUBLE};
+use kelpdoor_script::{Call, SettingsError, TROUBLE_BUILTINS};
 use serde::{Deserialize, Serialize};
 
 /// The day itself: how much of everything.
@@ -200,10 +200,10 @@
 impl Script {
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn from_calls(file: &str, calls: &[Call]) -> Result<Self, Vec<Fault>> {
+    pub fn from_calls(file: &str, calls: &[Call]) -> Result<Self, Vec<SettingsError>> {
         let (mut script, mut faults) = (Script::default(), Vec::new());
-        for call in calls.iter().filter(|c| c.word == "day") {
-            match call.to::<Size>(file) {
+        for call in calls.iter().filter(|c| c.builtin == "day") {
+            match call.parse_args::<Size>(file) {
                 Ok(size) => {
                     let sane = size.seconds > 0.0 && size.seconds <= 3600.0;
                     let fleet = (1..=200).contains(&size.nodes) && (1..=20).contains(&size.directors);
@@ -222,7 +222,7 @@
                         && size.watch >= 3.0
                         && size.roster_lag >= 0.0)
                     {
-                        faults.push(call.fault(file, "day: a figure is out of range"));
+                        faults.push(call.error(file, "day: a figure is out of range"));
                     }
                     script.size = size;
                 }
@@ -230,12 +230,12 @@
             }
         }
         let size = script.size.clone();
-        for call in calls.iter().filter(|c| c.word != "day") {
-            let Some((_, kind)) = KINDS.iter().find(|(word, _)| *word == call.word) else { continue };
-            match call.to::<Trouble>(file) {
+        for call in calls.iter().filter(|c| c.builtin != "day") {
+            let Some((_, kind)) = KINDS.iter().find(|(word, _)| *word == call.builtin) else { continue };
+            match call.parse_args::<Trouble>(file) {
                 Ok(t) => {
                     if let Some(what) = wrong(*kind, &t, &size) {
-                        faults.push(call.fault(file, format!("{}: {what}", call.word)));
+                        faults.push(call.error(file, format!("{}: {what}", call.builtin)));
                     }
                     script.troubles.push((*kind, t));
                 }
@@ -246,12 +246,15 @@
         if faults.is_empty() { Ok(script) } else { Err(faults) }
     }
 
-    pub fn run(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
-        Script::from_calls(file, &kelpdoor_script::run(file, text, TROUBLE)?)
+    pub fn run(file: &str, text: &str) -> Result<Self, Vec<SettingsError>> {
+        Script::from_calls(file, &kelpdoor_script::evaluate(file, text, TROUBLE_BUILTINS)?)
     }
 
-    pub fn read(path: &Path) -> Result<Self, Vec<Fault>> {
-        Script::from_calls(&path.display().to_string(), &kelpdoor_script::read(path, TROUBLE)?)
+    pub fn read(path: &Path) -> Result<Self, Vec<SettingsError>> {
+        Script::from_calls(
+            &path.display().to_string(),
+            &kelpdoor_script::evaluate_file(path, TROUBLE_BUILTINS)?,
+        )
     }
 }
 
--- a/crates/kelpdoor-lab/tests/checker.rs
+++ b/crates/kelpdoor-lab/tests/checker.rs
@@ -22,7 +22,7 @@
         let size = Size::default();
         let script =
             director_script(&settings(&size, ""), &size, 0, "127.0.0.1:1".parse().unwrap(), "x".as_ref());
-        let book = Deployment::run("s", &script).expect("good settings");
+        let book = Deployment::parse("s", &script).expect("good settings");
         let mut tape = Tape { t: 100.0, lines: Vec::new(), cseq: 0 };
         tape.put(What::Settings { text: serde_json::to_string(&book).unwrap() });
         tape.put(What::Director { director: 0, boot: 1, event: "started".into() });
--- a/crates/kelpdoor-lab/tests/scale.rs
+++ b/crates/kelpdoor-lab/tests/scale.rs
@@ -164,7 +164,7 @@
     for bytes in [0, 2_000, 20_000, 200_000] {
         for change in 0..3 {
             let text = fleet.document(bytes, 2.0, change);
-            kelpdoor_script::Shared::run("document", &text).unwrap_or_else(|f| panic!("{}", f[0]));
+            kelpdoor_script::AgreedSettings::parse("document", &text).unwrap_or_else(|f| panic!("{}", f[0]));
             assert!(text.len() >= bytes && text.len() < bytes + 1200, "{bytes}: {}", text.len());
         }
     }
--- a/crates/kelpdoor-lab/tests/seats.rs
+++ b/crates/kelpdoor-lab/tests/seats.rs
@@ -64,7 +64,7 @@
             .replace(tickets::KEEPER, &keeper.to_string());
         let script =
             director_script(&shared, &self.size, me, self.world.roster_at, Path::new("/nonexistent/list"));
-        let deployment = Deployment::run("test", &script).expect("good settings");
+        let deployment = Deployment::parse("test", &script).expect("good settings");
         let running =
             serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
         within(10, async {
@@ -249,7 +249,7 @@
     let script =
         director_script(&shared, &hall.size, 0, hall.world.roster_at, Path::new("/nonexistent/list"));
     let begin = async || {
-        let deployment = Deployment::run("test", &script).expect("good settings");
+        let deployment = Deployment::parse("test", &script).expect("good settings");
         let running =
             serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
         within(10, async {
--- a/crates/kelpdoor-lab/tests/sockets.rs
+++ b/crates/kelpdoor-lab/tests/sockets.rs
@@ -50,7 +50,7 @@
     let world = World::start(&size, &shared, Recorder::none()).await.expect("stand-ins");
     let shared = shared.replace("players(resume_for = 5, remember = 20)", extra);
     let script = director_script(&shared, &size, 0, world.roster_at, Path::new("/nonexistent/list"));
-    let deployment = Deployment::run("test", &script).expect("good settings");
+    let deployment = Deployment::parse("test", &script).expect("good settings");
     let running = serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
     until(|| running.counts().links_up == 4).await;
     (world, running)
--- a/crates/kelpdoor-script/src/deployment.rs
+++ b/crates/kelpdoor-script/src/deployment.rs
@@ -8,16 +8,18 @@
 use kelpdoor::terms::{FurtherBudget, GroupTerms, Reach, Repeat};
 use serde::{Deserialize, Serialize};
 
-use crate::run::{Call, Fault, Place};
+use crate::eval::{Call, SettingsError, SourcePosition};
 
 /// Directors' names in an agreed document at most: a fleet of 5,800 and what it grows by.
-pub const MOST_DIRECTORS: usize = 8000;
+pub const MAX_DIRECTORS: usize = 8000;
 /// Directors of a fleet at most where each has a number of its own.
-pub const MOST_BY_NUMBER: u32 = 10_000;
+pub const MAX_NUMBERED_DIRECTORS: u32 = 10_000;
 /// Zones of a fleet at most.
 pub const MAX_ZONES: usize = 1000;
-/// s; the longest contradiction that a document may state lies between these.
-pub const CONTRADICTION: (f64, f64) = (0.5, 20.0);
+/// Smallest value of `directors.contradiction` that an agreed document may state, in seconds.
+pub const MIN_CONTRADICTION: f64 = 0.5;
+/// Largest value of `directors.contradiction` that an agreed document may state, in seconds.
+pub const MAX_CONTRADICTION: f64 = 20.0;
 
 /// The ladder of rates, kB a second, and what each rung earns.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -139,7 +141,7 @@
 
 /// All settings of a keeper that is a process of its own.
 #[derive(Clone, Debug, Serialize)]
-pub struct KeeperBook {
+pub struct KeeperSettings {
     pub keeper: Keeper,
     pub schools: Vec<School>,
     /// Where schools are agreed: the voters to ask.
@@ -411,7 +413,7 @@
 
 /// Rules that directors agree on, as one document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Shared {
+pub struct AgreedSettings {
     pub ladder: Ladder,
     pub groups: Vec<Group>,
     pub fleet: Fleet,
@@ -427,7 +429,7 @@
 
 /// A director's own settings, where the rest is agreed.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct LocalSettings {
     file: String,
     calls: Vec<Call>,
     pub agreement: Agreement,
@@ -499,25 +501,29 @@
 struct Reader<'a> {
     file: &'a str,
     calls: &'a [Call],
-    faults: Vec<Fault>,
+    faults: Vec<SettingsError>,
 }
 
 impl<'a> Reader<'a> {
     /// The one call of a word, or the default where it may be left out.
     fn one<T: serde::de::DeserializeOwned>(&mut self, word: &str, needed: bool) -> Option<(T, &'a Call)> {
-        let mut of = self.calls.iter().filter(|c| c.word == word);
+        let mut of = self.calls.iter().filter(|c| c.builtin == word);
         let first = of.next();
         for again in of {
-            self.faults.push(again.fault(self.file, format!("{word} is given twice")));
+            self.faults.push(again.error(self.file, format!("{word} is given twice")));
         }
         let Some(call) = first else {
             if needed {
-                let what = format!("{word}(..) is missing");
-                self.faults.push(Fault { file: self.file.to_owned(), at: Place::default(), what });
+                let message = format!("{word}(..) is missing");
+                self.faults.push(SettingsError {
+                    file: self.file.to_owned(),
+                    pos: SourcePosition::default(),
+                    message,
+                });
             }
             return None;
         };
-        match call.to(self.file) {
+        match call.parse_args(self.file) {
             Ok(value) => Some((value, call)),
             Err(fault) => {
                 self.faults.push(fault);
@@ -528,7 +534,7 @@
 
     fn check(&mut self, call: &Call, good: bool, what: &str) {
         if !good {
-            self.faults.push(call.fault(self.file, format!("{}: {what}", call.word)));
+            self.faults.push(call.error(self.file, format!("{}: {what}", call.builtin)));
         }
     }
 }
@@ -554,7 +560,7 @@
         }
         let schools = self.schools();
         let inside = keeper.as_ref().is_some_and(|(k, _)| k.address.is_none());
-        for call in self.calls.iter().filter(|c| c.word == "school") {
+        for call in self.calls.iter().filter(|c| c.builtin == "school") {
             self.check(call, inside, "schools are settings of the process that the keeper runs in");
         }
         (keeper.map(|k| k.0), schools)
@@ -562,8 +568,8 @@
 
     fn schools(&mut self) -> Vec<School> {
         let mut schools: Vec<School> = Vec::new();
-        for call in self.calls.iter().filter(|c| c.word == "school") {
-            match call.to::<School>(self.file) {
+        for call in self.calls.iter().filter(|c| c.builtin == "school") {
+            match call.parse_args::<School>(self.file) {
                 Err(fault) => self.faults.push(fault),
                 Ok(s) => {
                     let names = [Some(&s.name), s.seat_class.as_ref()];
@@ -601,12 +607,16 @@
 impl Reader<'_> {
     /// Nodes and titles of a document.
     fn lists(&mut self) -> Lists {
-        let fleet = self.calls.iter().find(|c| c.word == "fleet").and_then(|c| c.to::<Fleet>(self.file).ok());
+        let fleet = self
+            .calls
+            .iter()
+            .find(|c| c.builtin == "fleet")
+            .and_then(|c| c.parse_args::<Fleet>(self.file).ok());
         // Without one, that is the fault.
         let Some(fleet) = fleet else { return Lists::default() };
         let mut lists = Lists::default();
-        for call in self.calls.iter().filter(|c| c.word == "node") {
-            match call.to::<AgreedNode>(self.file) {
+        for call in self.calls.iter().filter(|c| c.builtin == "node") {
+            match call.parse_args::<AgreedNode>(self.file) {
                 Err(fault) => self.faults.push(fault),
                 Ok(n) => {
                     self.check(call, fleet.zones.contains(&n.zone), "the zone is none of the fleet's");
@@ -618,8 +628,8 @@
                 }
             }
         }
-        for call in self.calls.iter().filter(|c| c.word == "title") {
-            match call.to::<AgreedTitle>(self.file) {
+        for call in self.calls.iter().filter(|c| c.builtin == "title") {
+            match call.parse_args::<AgreedTitle>(self.file) {
                 Err(fault) => self.faults.push(fault),
                 Ok(t) => {
                     let plain = |b: u8| b.is_ascii_alphanumeric() || b"._~-".contains(&b);
@@ -636,33 +646,36 @@
     }
 }
 
-impl KeeperBook {
+impl KeeperSettings {
     /// Reads the settings of a keeper's own process.
     ///
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn read(path: &std::path::Path) -> Result<Self, Vec<Fault>> {
-        KeeperBook::from_calls(&path.display().to_string(), &crate::run::read(path, crate::KEEPER)?)
+    pub fn read(path: &std::path::Path) -> Result<Self, Vec<SettingsError>> {
+        KeeperSettings::from_calls(
+            &path.display().to_string(),
+            &crate::eval::evaluate_file(path, crate::KEEPER_BUILTINS)?,
+        )
     }
 
     /// As [`read`](Self::read), from a script's calls.
     ///
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn from_calls(file: &str, calls: &[Call]) -> Result<Self, Vec<Fault>> {
+    pub fn from_calls(file: &str, calls: &[Call]) -> Result<Self, Vec<SettingsError>> {
         let mut r = Reader { file, calls, faults: Vec::new() };
         let (keeper, schools) = r.keeper(true);
         let agreement = r.agreement(false);
-        if let Some(call) = calls.iter().find(|c| c.word == "school").filter(|_| agreement.is_some()) {
-            r.faults.push(call.fault(file, "school is agreed, it is no setting of the keeper"));
+        if let Some(call) = calls.iter().find(|c| c.builtin == "school").filter(|_| agreement.is_some()) {
+            r.faults.push(call.error(file, "school is agreed, it is no setting of the keeper"));
         }
         match keeper {
             Some(keeper) if r.faults.is_empty() && keeper.address.is_none() => {
-                Ok(KeeperBook { keeper, schools, agreement })
+                Ok(KeeperSettings { keeper, schools, agreement })
             }
             Some(_) if r.faults.is_empty() => {
-                let what = "a keeper's own settings have listen, not address".to_owned();
-                Err(vec![Fault { file: file.to_owned(), at: Place::default(), what }])
+                let message = "a keeper's own settings have listen, not address".to_owned();
+                Err(vec![SettingsError { file: file.to_owned(), pos: SourcePosition::default(), message }])
             }
             _ => Err(r.faults),
         }
@@ -678,7 +691,7 @@
     ///
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn from_calls(file: &str, calls: &[Call]) -> Result<Option<Self>, Vec<Fault>> {
+    pub fn from_calls(file: &str, calls: &[Call]) -> Result<Option<Self>, Vec<SettingsError>> {
         let mut r = Reader { file, calls, faults: Vec::new() };
         let voter = r.one::<Voter>("voter", false);
         if let Some((v, call)) = &voter {
@@ -721,28 +734,31 @@
     call
 }
 
-impl Own {
+impl LocalSettings {
     /// What a settings file holds of its own, where it has `agreement(..)`; `None` where it is a whole deployment.
     ///
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn read(path: &std::path::Path) -> Result<Option<Self>, Vec<Fault>> {
+    pub fn read(path: &std::path::Path) -> Result<Option<Self>, Vec<SettingsError>> {
         let file = path.display().to_string();
-        let calls = crate::run::read(path, crate::OWN_OR_WHOLE)?;
-        if !calls.iter().any(|c| c.word == "agreement") {
+        let calls = crate::eval::evaluate_file(path, crate::LOCAL_OR_COMPLETE_BUILTINS)?;
+        if !calls.iter().any(|c| c.builtin == "agreement") {
             return Ok(None);
         }
         let mut r = Reader { file: &file, calls: &calls, faults: Vec::new() };
         let agreement = r.agreement(true);
         for call in &calls {
-            if !crate::OWN.contains(&call.word.as_str()) {
+            if !crate::LOCAL_BUILTINS.contains(&call.builtin.as_str()) {
                 r.faults.push(
-                    call.fault(&file, format!("{} is agreed, it is no setting of one director", call.word)),
+                    call.error(
+                        &file,
+                        format!("{} is agreed, it is no setting of one director", call.builtin),
+                    ),
                 );
             }
             for key in ["me", "of", "max_setups", "come_back"] {
-                if call.word == "director" && call.args.contains_key(key) {
-                    r.faults.push(call.fault(
+                if call.builtin == "director" && call.args.contains_key(key) {
+                    r.faults.push(call.error(
                         &file,
                         format!("director: {key} is agreed, it is no setting of one director"),
                     ));
@@ -750,9 +766,9 @@
             }
         }
         for word in ["director", "roster"] {
-            if !calls.iter().any(|c| c.word == word) {
-                let what = format!("{word}(..) is missing");
-                r.faults.push(Fault { file: file.clone(), at: Place::default(), what });
+            if !calls.iter().any(|c| c.builtin == word) {
+                let message = format!("{word}(..) is missing");
+                r.faults.push(SettingsError { file: file.clone(), pos: SourcePosition::default(), message });
             }
         }
         let mut faults = r.faults;
@@ -763,11 +779,11 @@
         if let (Some(a), Some(v)) = (&agreement, &voter)
             && a.fleet != v.fleet
         {
-            let what = format!("voter: its fleet is {:?}, the director's is {:?}", v.fleet, a.fleet);
-            faults.push(Fault { file: file.clone(), at: Place::default(), what });
+            let message = format!("voter: its fleet is {:?}, the director's is {:?}", v.fleet, a.fleet);
+            faults.push(SettingsError { file: file.clone(), pos: SourcePosition::default(), message });
         }
         match agreement {
-            Some(agreement) if faults.is_empty() => Ok(Some(Own { file, calls, agreement, voter })),
+            Some(agreement) if faults.is_empty() => Ok(Some(LocalSettings { file, calls, agreement, voter })),
             _ => Err(faults),
         }
     }
@@ -777,13 +793,15 @@
     ///
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn under(&self, text: &str) -> Result<(Deployment, Shared, bool), Vec<Fault>> {
-        let (shared, doc) = Shared::parts(DOCUMENT, text)?;
+    pub fn merge_document(
+        &self, text: &str,
+    ) -> Result<(Deployment, AgreedSettings, bool), Vec<SettingsError>> {
+        let (shared, doc) = AgreedSettings::parts(DOCUMENT, text)?;
         let d = &shared.directors;
         let place = d.names.iter().position(|n| *n == self.agreement.name);
         let me = place.unwrap_or(d.names.len() - 1) as u32;
-        let own = self.calls.iter().filter(|c| !["agreement", "voter"].contains(&c.word.as_str()));
-        let own = own.map(|c| if c.word == "director" { completed(c, d, me) } else { c.clone() });
+        let own = self.calls.iter().filter(|c| !["agreement", "voter"].contains(&c.builtin.as_str()));
+        let own = own.map(|c| if c.builtin == "director" { completed(c, d, me) } else { c.clone() });
         let all: Vec<Call> = doc.into_iter().chain(own).collect();
         Ok((Deployment::from_calls(&self.file, &all)?, shared, place.is_some()))
     }
@@ -792,22 +810,22 @@
 /// How faults name an agreed document.
 const DOCUMENT: &str = "the document";
 
-impl Shared {
+impl AgreedSettings {
     /// Checks a document as directors will read it.
     ///
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn run(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
-        Ok(Shared::parts(file, text)?.0)
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<SettingsError>> {
+        Ok(AgreedSettings::parts(file, text)?.0)
     }
 
     /// And the calls that are a director's too.
-    fn parts(file: &str, text: &str) -> Result<(Self, Vec<Call>), Vec<Fault>> {
-        let calls = crate::run::run(file, text, crate::SHARED)?;
+    fn parts(file: &str, text: &str) -> Result<(Self, Vec<Call>), Vec<SettingsError>> {
+        let calls = crate::eval::evaluate(file, text, crate::AGREED_BUILTINS)?;
         let mut r = Reader { file, calls: &calls, faults: Vec::new() };
         let directors = r.one::<Directors>("directors", true);
         if let Some((d, call)) = &directors {
-            r.check(call, (1..=MOST_DIRECTORS).contains(&d.names.len()), "1 to 8000 names");
+            r.check(call, (1..=MAX_DIRECTORS).contains(&d.names.len()), "1 to 8000 names");
             r.check(
                 call,
                 d.names.iter().all(|n| plain_name(n)),
@@ -817,7 +835,7 @@
             r.check(call, distinct.len() == d.names.len(), "a name stands twice");
             r.check(
                 call,
-                (CONTRADICTION.0..=CONTRADICTION.1).contains(&d.contradiction),
+                (MIN_CONTRADICTION..=MAX_CONTRADICTION).contains(&d.contradiction),
                 "contradiction from 0.5 to 20 s",
             );
         }
@@ -828,7 +846,7 @@
         }
         let lists = r.lists();
         let schools = r.schools();
-        if let Some(call) = calls.iter().find(|c| c.word == "keeper") {
+        if let Some(call) = calls.iter().find(|c| c.builtin == "keeper") {
             // One in each director's process would count each school's seats several times.
             r.check(
                 call,
@@ -838,10 +856,10 @@
         }
         // A director's own words, so that all that is checked for one is checked here.
         let zone =
-            calls.iter().find(|c| c.word == "fleet").and_then(|c| c.args.get("zones")?.get(0).cloned());
+            calls.iter().find(|c| c.builtin == "fleet").and_then(|c| c.args.get("zones")?.get(0).cloned());
         let own = |word: &str, args: serde_json::Value| {
             let args = args.as_object().cloned().unwrap_or_default();
-            Call { word: word.to_owned(), at: Place::default(), args }
+            Call { builtin: word.to_owned(), pos: SourcePosition::default(), args }
         };
         let stand_in = "127.0.0.1:1";
         let director = own("director", serde_json::json!({ "zone": zone, "listen": stand_in }));
@@ -850,7 +868,7 @@
         let mut faults = r.faults;
         let mut all: Vec<Call> = calls
             .iter()
-            .filter(|c| !["directors", "voters", "node", "title", "school"].contains(&c.word.as_str()))
+            .filter(|c| !["directors", "voters", "node", "title", "school"].contains(&c.builtin.as_str()))
             .cloned()
             .collect();
         let doc = all.clone();
@@ -859,7 +877,7 @@
             Ok(d) if faults.is_empty() => {
                 let Deployment { ladder, groups, fleet, further, tokens, keeper, .. } = d;
                 Ok((
-                    Shared {
+                    AgreedSettings {
                         ladder,
                         groups,
                         fleet,
@@ -888,7 +906,7 @@
     ///
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn from_calls(file: &str, calls: &[Call]) -> Result<Self, Vec<Fault>> {
+    pub fn from_calls(file: &str, calls: &[Call]) -> Result<Self, Vec<SettingsError>> {
         let mut r = Reader { file, calls, faults: Vec::new() };
         let ladder = r.one::<Ladder>("ladder", true);
         if let Some((l, call)) = &ladder {
@@ -908,8 +926,8 @@
         }
         let rungs = ladder.as_ref().map_or(u8::MAX, |(l, _)| l.rates.len().min(64) as u8);
         let mut groups: Vec<Group> = Vec::new();
-        for call in calls.iter().filter(|c| c.word == "group") {
-            match call.to::<Group>(file) {
+        for call in calls.iter().filter(|c| c.builtin == "group") {
+            match call.parse_args::<Group>(file) {
                 Err(fault) => r.faults.push(fault),
                 Ok(mut g) => {
                     r.check(call, !groups.iter().any(|o| o.name == g.name), "the name is taken");
@@ -927,8 +945,8 @@
             }
         }
         if !(1..=64).contains(&groups.len()) && r.faults.is_empty() {
-            let what = "one to 64 group(..) are asked for".to_owned();
-            r.faults.push(Fault { file: file.to_owned(), at: Place::default(), what });
+            let message = "one to 64 group(..) are asked for".to_owned();
+            r.faults.push(SettingsError { file: file.to_owned(), pos: SourcePosition::default(), message });
         }
         let fleet = r.one::<Fleet>("fleet", true);
         if let Some((f, call)) = &fleet {
@@ -957,7 +975,11 @@
         }
         let director = r.one::<Director>("director", true);
         if let Some((d, call)) = &director {
-            r.check(call, d.me < d.of && d.of <= MOST_BY_NUMBER, "me is under of, of is 10,000 at most");
+            r.check(
+                call,
+                d.me < d.of && d.of <= MAX_NUMBERED_DIRECTORS,
+                "me is under of, of is 10,000 at most",
+            );
             r.check(call, (1..=100).contains(&d.max_setups), "max_setups from 1 to 100");
             r.check(call, sane(&[d.come_back.unwrap_or(0.0)]), "come_back of at least 0");
             if let Some((f, _)) = &fleet {
@@ -1001,8 +1023,8 @@
         let needed = groups.iter().any(|g| g.token);
         let (keeper, schools) = r.keeper(needed);
         if needed && tokens.is_none() && r.faults.is_empty() {
-            let what = "a group needs tokens, and tokens(..) is missing".to_owned();
-            r.faults.push(Fault { file: file.to_owned(), at: Place::default(), what });
+            let message = "a group needs tokens, and tokens(..) is missing".to_owned();
+            r.faults.push(SettingsError { file: file.to_owned(), pos: SourcePosition::default(), message });
         }
         match (ladder, fleet, director, roster) {
             (Some((ladder, _)), Some((fleet, _)), Some((director, _)), Some((roster, _)))
@@ -1031,16 +1053,19 @@
     ///
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn run(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
-        Deployment::from_calls(file, &crate::run::run(file, text, crate::DEPLOYMENT)?)
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<SettingsError>> {
+        Deployment::from_calls(file, &crate::eval::evaluate(file, text, crate::DEPLOYMENT_BUILTINS)?)
     }
 
     /// Reads a settings file.
     ///
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn read(path: &std::path::Path) -> Result<Self, Vec<Fault>> {
-        Deployment::from_calls(&path.display().to_string(), &crate::run::read(path, crate::DEPLOYMENT)?)
+    pub fn read(path: &std::path::Path) -> Result<Self, Vec<SettingsError>> {
+        Deployment::from_calls(
+            &path.display().to_string(),
+            &crate::eval::evaluate_file(path, crate::DEPLOYMENT_BUILTINS)?,
+        )
     }
 
     /// What the decisions are given.
--- a/crates/kelpdoor-script/src/run.rs
+++ b/crates/kelpdoor-script/src/eval.rs
@@ -29,30 +29,30 @@
 
 /// Where in a script, both from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct SourcePosition {
     pub line: usize,
     pub column: usize,
 }
 
 /// What is wrong with a script, and where.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub struct Fault {
+pub struct SettingsError {
     pub file: String,
-    pub at: Place,
-    pub what: String,
+    pub pos: SourcePosition,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}:{}: {}", self.file, self.at.line, self.at.column, self.what)
+        write!(f, "{}:{}:{}: {}", self.file, self.pos.line, self.pos.column, self.message)
     }
 }
 
 /// A word called by a script. An argument without a name stands under `name`.
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub word: String,
-    pub at: Place,
+    pub builtin: String,
+    pub pos: SourcePosition,
     pub args: Map<String, Json>,
 }
 
@@ -61,13 +61,13 @@
     ///
     /// # Errors
     /// What serde finds wrong, with the word before it.
-    pub fn to<T: DeserializeOwned>(&self, file: &str) -> Result<T, Fault> {
+    pub fn parse_args<T: DeserializeOwned>(&self, file: &str) -> Result<T, SettingsError> {
         serde_json::from_value(Json::Object(self.args.clone()))
-            .map_err(|e| self.fault(file, format!("{}: {e}", self.word)))
+            .map_err(|e| self.error(file, format!("{}: {e}", self.builtin)))
     }
 
-    pub fn fault(&self, file: &str, what: impl Into<String>) -> Fault {
-        Fault { file: file.to_owned(), at: self.at, what: what.into() }
+    pub fn error(&self, file: &str, message: impl Into<String>) -> SettingsError {
+        SettingsError { file: file.to_owned(), pos: self.pos, message: message.into() }
     }
 }
 
@@ -89,9 +89,10 @@
     for (name, value) in named {
         all.insert(name.clone(), value.to_json_value()?);
     }
-    let at = eval.call_stack_top_location().map(|l| l.resolve_span().begin);
-    let at = at.map_or(Place::default(), |b| Place { line: b.line + 1, column: b.column + 1 });
-    calls.0.borrow_mut().push(Call { word: word.to_owned(), at, args: all });
+    let pos = eval.call_stack_top_location().map(|l| l.resolve_span().begin);
+    let pos =
+        pos.map_or(SourcePosition::default(), |b| SourcePosition { line: b.line + 1, column: b.column + 1 });
+    calls.0.borrow_mut().push(Call { builtin: word.to_owned(), pos, args: all });
     Ok(NoneType)
 }
 
@@ -117,8 +118,8 @@
     trickle line_reset voter_roll voter_stall voter_disk voter_full propose voter_list wall_step
     target budget faults assume);
 
-fn place(span: &starlark::codemap::ResolvedSpan) -> Place {
-    Place { line: span.begin.line + 1, column: span.begin.column + 1 }
+fn place(span: &starlark::codemap::ResolvedSpan) -> SourcePosition {
+    SourcePosition { line: span.begin.line + 1, column: span.begin.column + 1 }
 }
 
 /// Looks at the heap before each statement.
@@ -140,14 +141,17 @@
 ///
 /// # Errors
 /// Each name that is not known, or else the first fault that evaluation comes upon.
-pub fn run(file: &str, text: &str, allowed: &[&str]) -> Result<Vec<Call>, Vec<Fault>> {
-    let fault = |at: Place, what: String| Fault { file: file.to_owned(), at, what };
+pub fn evaluate(file: &str, text: &str, allowed: &[&str]) -> Result<Vec<Call>, Vec<SettingsError>> {
+    let fault = |pos: SourcePosition, message: String| SettingsError { file: file.to_owned(), pos, message };
     if text.len() > MAX_TEXT {
-        return Err(vec![fault(Place::default(), format!("{} bytes, {MAX_TEXT} at most", text.len()))]);
+        return Err(vec![fault(
+            SourcePosition::default(),
+            format!("{} bytes, {MAX_TEXT} at most", text.len()),
+        )]);
     }
     let of = |e: starlark::Error| {
-        let at = e.span().map_or(Place::default(), |s| place(&s.resolve_span()));
-        vec![fault(at, format!("{}", e.without_diagnostic()))]
+        let pos = e.span().map_or(SourcePosition::default(), |s| place(&s.resolve_span()));
+        vec![fault(pos, format!("{}", e.without_diagnostic()))]
     };
     let dialect = Dialect { enable_f_strings: true, ..Dialect::Standard };
     let ast = AstModule::parse(file, text.to_owned(), &dialect).map_err(of)?;
@@ -155,7 +159,7 @@
     let foreign = |name: &str| KNOWN.contains(&name) && !allowed.contains(&name);
     let names: HashSet<String> =
         globals.names().map(|n| n.as_str().to_owned()).filter(|n| !foreign(n)).collect();
-    let unknown: Vec<Fault> = ast
+    let unknown: Vec<SettingsError> = ast
         .lint(Some(&names))
         .into_iter()
         .filter(|l| l.short_name == "using-undefined")
@@ -182,10 +186,11 @@
 /// Runs a file's script.
 ///
 /// # Errors
-/// As [`run`], and where the file cannot be read.
-pub fn read(path: &std::path::Path, allowed: &[&str]) -> Result<Vec<Call>, Vec<Fault>> {
+/// As [`evaluate`], and where the file cannot be read.
+pub fn evaluate_file(path: &std::path::Path, allowed: &[&str]) -> Result<Vec<Call>, Vec<SettingsError>> {
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(path)
-        .map_err(|e| vec![Fault { file: file.clone(), at: Place::default(), what: e.to_string() }])?;
-    run(&file, &text, allowed)
+    let text = std::fs::read_to_string(path).map_err(|e| {
+        vec![SettingsError { file: file.clone(), pos: SourcePosition::default(), message: e.to_string() }]
+    })?;
+    evaluate(&file, &text, allowed)
 }
--- a/crates/kelpdoor-script/src/lib.rs
+++ b/crates/kelpdoor-script/src/lib.rs
@@ -1,21 +1,23 @@
 //! Settings and trouble scripts, written in Starlark and bounded in steps and memory.
 //!
-//! A script calls words (`group("lecture", utility = 2)`); [`run`] collects the calls with their places, and
+//! A script calls words (`group("lecture", utility = 2)`); [`evaluate`] collects the calls with their places, and
 //! [`Deployment::from_calls`] or whoever reads them checks them against types. Nothing here decides.
 
 mod deployment;
-mod run;
+mod eval;
 
 pub use deployment::{
-    AgreedNode, AgreedTitle, Agreement, Deployment, Director, Directors, Fleet, Further, Group, Keeper,
-    KeeperBook, Ladder, Lists, NodeLinks, Own, Players, RepeatWord, Roster, School, Shared, Tokens, Voter,
-    Voters,
+    AgreedNode, AgreedSettings, AgreedTitle, Agreement, Deployment, Director, Directors, Fleet, Further,
+    Group, Keeper, KeeperSettings, Ladder, Lists, LocalSettings, NodeLinks, Players, RepeatWord, Roster,
+    School, Tokens, Voter, Voters,
 };
-pub use deployment::{CONTRADICTION, MAX_ZONES, MOST_BY_NUMBER, MOST_DIRECTORS};
-pub use run::{Call, Fault, Place, read, run};
+pub use deployment::{
+    MAX_CONTRADICTION, MAX_DIRECTORS, MAX_NUMBERED_DIRECTORS, MAX_ZONES, MIN_CONTRADICTION,
+};
+pub use eval::{Call, SettingsError, SourcePosition, evaluate, evaluate_file};
 
 /// Words of a deployment's settings.
-pub const DEPLOYMENT: &[&str] = &[
+pub const DEPLOYMENT_BUILTINS: &[&str] = &[
     "ladder",
     "group",
     "fleet",
@@ -30,7 +32,7 @@
 ];
 
 /// Words of a document that directors agree on.
-pub const SHARED: &[&str] = &[
+pub const AGREED_BUILTINS: &[&str] = &[
     "ladder",
     "group",
     "fleet",
@@ -45,10 +47,10 @@
 ];
 
 /// Words of a director's own settings, where the rest is agreed.
-pub const OWN: &[&str] = &["director", "roster", "players", "node_links", "agreement", "voter"];
+pub const LOCAL_BUILTINS: &[&str] = &["director", "roster", "players", "node_links", "agreement", "voter"];
 
 /// Both kinds of a director's settings.
-pub const OWN_OR_WHOLE: &[&str] = &[
+pub const LOCAL_OR_COMPLETE_BUILTINS: &[&str] = &[
     "ladder",
     "group",
     "fleet",
@@ -65,13 +67,13 @@
 ];
 
 /// Words of a keeper's settings.
-pub const KEEPER: &[&str] = &["keeper", "school", "voter", "agreement"];
+pub const KEEPER_BUILTINS: &[&str] = &["keeper", "school", "voter", "agreement"];
 
 /// Words of a target: a fleet as it is to be.
-pub const TARGET: &[&str] = &["target", "budget", "faults", "assume"];
+pub const TARGET_BUILTINS: &[&str] = &["target", "budget", "faults", "assume"];
 
 /// Words of a trouble script.
-pub const TROUBLE: &[&str] = &[
+pub const TROUBLE_BUILTINS: &[&str] = &[
     "day",
     "crash",
     "vanish",
--- a/crates/kelpdoor-script/tests/faults.rs
+++ b/crates/kelpdoor-script/tests/errors.rs
@@ -13,13 +13,13 @@
 "#;
 
 fn faults(text: &str, expected: Expect) {
-    let faults = Deployment::run("d.star", text).expect_err("faults");
+    let faults = Deployment::parse("d.star", text).expect_err("faults");
     expected.assert_eq(&faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"));
 }
 
 #[test]
 fn good_settings_become_terms() {
-    let terms = Deployment::run("d.star", GOOD).expect("good").terms();
+    let terms = Deployment::parse("d.star", GOOD).expect("good").terms();
     assert_eq!((terms.directors, terms.groups[0].top, terms.places_by_kind[0]), (2, 2, 39.0));
 }
 
--- a/crates/kelpdoord/src/agreed.rs
+++ b/crates/kelpdoord/src/agreed.rs
@@ -11,7 +11,7 @@
 use kelpdoor_agreement::{Ask, Chosen, DirectorStanding, MAX_LINE, Tell, Value, VoterId};
 use kelpdoor_director::{Following, kept, pools};
 use kelpdoor_keeper::{Sold, addresses, read};
-use kelpdoor_script::{Agreement, Own, Shared};
+use kelpdoor_script::{AgreedSettings, Agreement, LocalSettings};
 use serde_json::json;
 use tokio::sync::watch;
 
@@ -29,10 +29,10 @@
 const CUT_OFF: f64 = 5.0;
 
 /// A document's text, and what it says.
-pub fn document(file: &Path) -> Result<(String, Shared)> {
+pub fn document(file: &Path) -> Result<(String, AgreedSettings)> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).with_context(|| name.clone())?;
-    let shared = Shared::run(&name, &text).map_err(told)?;
+    let shared = AgreedSettings::parse(&name, &text).map_err(told)?;
     Ok((text, shared))
 }
 
@@ -46,7 +46,7 @@
 impl Voters {
     /// As a director's own settings name them.
     pub fn of(config: &Path) -> Result<Self> {
-        let own = Own::read(config).map_err(told)?;
+        let own = LocalSettings::read(config).map_err(told)?;
         let own = own.with_context(|| format!("{}: no agreement(..) in it", config.display()))?;
         let own = own.agreement;
         // Those of the settings may all be gone by now: a director's copy names those who came after them.
@@ -100,7 +100,10 @@
 
     /// Those who decide the next version, if any was agreed; else those of the settings.
     fn deciding(&self) -> Vec<VoterId> {
-        let list = self.newest.as_ref().and_then(|c| Shared::run("the newest version", &c.value.text).ok());
+        let list = self
+            .newest
+            .as_ref()
+            .and_then(|c| AgreedSettings::parse("the newest version", &c.value.text).ok());
         match list {
             Some(shared) => shared.voters.at.into_keys().map(VoterId).collect(),
             None => self.at.keys().copied().collect(),
@@ -173,7 +176,7 @@
     }
 
     pub fn propose(&self, text: &str, after: u64, dry_run: bool, sure: bool) -> Result<()> {
-        let new = Shared::run("the document", text).map_err(told)?;
+        let new = AgreedSettings::parse("the document", text).map_err(told)?;
         if dry_run {
             let newest = self.newest()?;
             let number = newest.as_ref().map_or(0, |c| c.number);
@@ -184,7 +187,7 @@
                 println!("it would be the first version");
                 return Ok(());
             };
-            let old = Shared::run("the version before", &newest.value.text).map_err(told)?;
+            let old = AgreedSettings::parse("the version before", &newest.value.text).map_err(told)?;
             show_changes(&may_follow(&old, &new, sure).map_err(|e| anyhow::anyhow!(e))?);
             return Ok(());
         }
--- a/crates/kelpdoord/src/lib.rs
+++ b/crates/kelpdoord/src/lib.rs
@@ -17,7 +17,7 @@
 use kelpdoor_director::{Following, ServeOptions, journal, keeper_options, serve};
 use kelpdoor_keeper::{Agreed, Ask, RunningVoter, Sold, Tell, VoterOptions, start_voter};
 use kelpdoor_platform::{Start, StartFault};
-use kelpdoor_script::{Deployment, Fault, KEEPER, KeeperBook, Own, Voter};
+use kelpdoor_script::{Deployment, KEEPER_BUILTINS, KeeperSettings, LocalSettings, SettingsError, Voter};
 use kelpdoor_tokens::KeySet;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
@@ -152,7 +152,7 @@
     },
 }
 
-fn told(faults: Vec<Fault>) -> anyhow::Error {
+fn told(faults: Vec<SettingsError>) -> anyhow::Error {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     anyhow::anyhow!(lines.join("\n"))
 }
@@ -172,10 +172,10 @@
 /// A voter, the keeper of seats, or both.
 async fn keep(config: PathBuf, found: bool) -> Result<()> {
     let file = config.display().to_string();
-    let calls = kelpdoor_script::read(&config, KEEPER).map_err(told)?;
+    let calls = kelpdoor_script::evaluate_file(&config, KEEPER_BUILTINS).map_err(told)?;
     let voter = Voter::from_calls(&file, &calls).map_err(told)?;
-    let seats = voter.is_none() || calls.iter().any(|c| c.word != "voter");
-    let book = if seats { Some(KeeperBook::from_calls(&file, &calls).map_err(told)?) } else { None };
+    let seats = voter.is_none() || calls.iter().any(|c| c.builtin != "voter");
+    let book = if seats { Some(KeeperSettings::from_calls(&file, &calls).map_err(told)?) } else { None };
     match (voter, book) {
         (Some(voter), Some(book)) => {
             tokio::try_join!(vote(voter, found), count_seats(config, book)).map(|_| ())
@@ -217,7 +217,7 @@
     running.ended().await.map_err(|e| anyhow::anyhow!("the voter did not end well: {e}"))
 }
 
-async fn count_seats(config: PathBuf, book: KeeperBook) -> Result<()> {
+async fn count_seats(config: PathBuf, book: KeeperSettings) -> Result<()> {
     let mut ends = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
     let mut again = signal(SignalKind::hangup())?;
     let mut options = keeper_options(&book.keeper, &book.schools);
@@ -240,7 +240,7 @@
             _ = term.recv() => break,
             _ = int.recv() => break,
             Some(ended) = following.join_next() => bail!("the agreed schools are not to be had: {ended:?}"),
-            _ = again.recv() => match KeeperBook::read(&config) {
+            _ = again.recv() => match KeeperSettings::read(&config) {
                 Ok(_) if follows => tracing::info!("the schools are agreed: nothing to read again"),
                 Ok(book) => {
                     tracing::info!(schools = book.schools.len(), "read again; listen, ledger and leases stay");
@@ -300,11 +300,11 @@
 /// A director's settings: all of its own, or its own part where the rest is agreed.
 enum Mine {
     Whole(Box<Deployment>),
-    Agreed(Box<Own>),
+    Agreed(Box<LocalSettings>),
 }
 
 fn mine(path: &Path) -> Result<Mine> {
-    match Own::read(path).map_err(told)? {
+    match LocalSettings::read(path).map_err(told)? {
         Some(own) => Ok(Mine::Agreed(Box::new(own))),
         None => Ok(Mine::Whole(Box::new(settings(path)?))),
     }
