--- a/crates/kelpdoor-api/src/lib.rs
+++ b/crates/kelpdoor-api/src/lib.rs
@@ -10,13 +10,15 @@
 /// What a player names in `Sec-WebSocket-Protocol`; the version is part of it.
 pub const SUBPROTOCOL: &str = "kelpdoor.session.v1";
 /// Bytes of a message from a player at most.
-pub const MAX_MESSAGE: usize = 4096;
+pub const MAX_MESSAGE_BYTES: usize = 4096;
 /// Bytes of an entitlement token at most.
-pub const MAX_TOKEN: usize = 2048;
-/// Bytes of a request key: long enough that nobody guesses another's.
-pub const KEY_LEN: (usize, usize) = (8, 64);
+pub const MAX_TOKEN_BYTES: usize = 2048;
+/// Minimum length of a request key in bytes: long enough that nobody guesses another's key.
+pub const MIN_KEY_BYTES: usize = 8;
+/// Maximum length of a request key in bytes.
+pub const MAX_KEY_BYTES: usize = 64;
 /// Bytes of a group's or title's name at most.
-pub const MAX_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Seconds; the longest setup timeout taken.
 pub const MAX_SETUP_TIMEOUT: f64 = 60.0;
 
@@ -70,7 +72,7 @@
     /// It failed, and may have run.
     Failed {
         key: RequestKey,
-        why: FailedWhy,
+        why: FailureReason,
     },
     /// The session's rung is another from now on.
     Rung {
@@ -90,7 +92,7 @@
     /// A session that played is over.
     Ended {
         key: RequestKey,
-        why: EndedWhy,
+        why: EndReason,
     },
     /// That message was not taken; nothing else is touched.
     Error {
@@ -105,7 +107,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum FailedWhy {
+#[schemars(rename = "FailedWhy")]
+pub enum FailureReason {
     /// No SETUP came to an answer in time, and it cannot be shown that none ran.
     NoAnswer,
     /// The player stopped it before an answer.
@@ -120,7 +123,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum EndedWhy {
+#[schemars(rename = "EndedWhy")]
+pub enum EndReason {
     /// The player asked.
     Stopped,
     /// The title is over.
@@ -162,16 +166,20 @@
 
 /// Why a text is no message of a player.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
-    #[error("{0} bytes, {MAX_MESSAGE} at most")]
+pub enum MessageError {
+    #[error("{0} bytes, {MAX_MESSAGE_BYTES} at most")]
     TooLong(usize),
     #[error("not a message: {0}")]
     Malformed(String),
-    #[error("key: {len} bytes of letters, digits, - and _ are asked for, {} to {}", KEY_LEN.0, KEY_LEN.1)]
+    #[error(
+        "key: {len} bytes of letters, digits, - and _ are asked for, {} to {}",
+        MIN_KEY_BYTES,
+        MAX_KEY_BYTES
+    )]
     Key { len: usize },
-    #[error("{field}: {len} bytes, 1 to {MAX_NAME} are allowed")]
+    #[error("{field}: {len} bytes, 1 to {MAX_NAME_BYTES} are allowed")]
     Name { field: &'static str, len: usize },
-    #[error("token: {len} bytes, 1 to {MAX_TOKEN} are allowed")]
+    #[error("token: {len} bytes, 1 to {MAX_TOKEN_BYTES} are allowed")]
     Token { len: usize },
     #[error("setup_timeout: {0}, above 0 and up to {MAX_SETUP_TIMEOUT} s are allowed")]
     SetupTimeout(String),
@@ -204,37 +212,37 @@
     /// Reads and checks a message.
     ///
     /// # Errors
-    /// A [`Fault`] that names the field, for the `error` message to the player.
-    pub fn read(text: &str) -> Result<Self, Fault> {
-        if text.len() > MAX_MESSAGE {
-            return Err(Fault::TooLong(text.len()));
+    /// A [`MessageError`] that names the field, for the `error` message to the player.
+    pub fn parse(text: &str) -> Result<Self, MessageError> {
+        if text.len() > MAX_MESSAGE_BYTES {
+            return Err(MessageError::TooLong(text.len()));
         }
-        let message: FromPlayer = untag(text).map_err(|e| Fault::Malformed(e.to_string()))?;
+        let message: FromPlayer = untag(text).map_err(|e| MessageError::Malformed(e.to_string()))?;
         let token = match &message {
             FromPlayer::Start { token, .. } => token.as_deref(),
             FromPlayer::Renew { token, .. } => Some(token.as_str()),
             _ => None,
         };
-        if let Some(len) = token.map(str::len).filter(|len| !(1..=MAX_TOKEN).contains(len)) {
-            return Err(Fault::Token { len });
+        if let Some(len) = token.map(str::len).filter(|len| !(1..=MAX_TOKEN_BYTES).contains(len)) {
+            return Err(MessageError::Token { len });
         }
         if let FromPlayer::Start { key, .. } | FromPlayer::Stop { key } | FromPlayer::Renew { key, .. } =
             &message
         {
             let plain = key.0.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
             let len = key.0.len();
-            if !plain || !(KEY_LEN.0..=KEY_LEN.1).contains(&len) {
-                return Err(Fault::Key { len });
+            if !plain || !(MIN_KEY_BYTES..=MAX_KEY_BYTES).contains(&len) {
+                return Err(MessageError::Key { len });
             }
         }
         if let FromPlayer::Start { group, title, setup_timeout, .. } = &message {
             for (field, name) in [("group", group), ("title", title)] {
-                if name.is_empty() || name.len() > MAX_NAME {
-                    return Err(Fault::Name { field, len: name.len() });
+                if name.is_empty() || name.len() > MAX_NAME_BYTES {
+                    return Err(MessageError::Name { field, len: name.len() });
                 }
             }
             if !(*setup_timeout > 0.0 && *setup_timeout <= MAX_SETUP_TIMEOUT) {
-                return Err(Fault::SetupTimeout(setup_timeout.to_string()));
+                return Err(MessageError::SetupTimeout(setup_timeout.to_string()));
             }
         }
         Ok(message)
@@ -250,8 +258,8 @@
     ///
     /// # Errors
     /// What is wrong with the text.
-    pub fn read(text: &str) -> Result<Self, Fault> {
-        untag(text).map_err(|e| Fault::Malformed(e.to_string()))
+    pub fn parse(text: &str) -> Result<Self, MessageError> {
+        untag(text).map_err(|e| MessageError::Malformed(e.to_string()))
     }
 
     pub fn text(&self) -> String {
--- a/crates/kelpdoor-api/tests/messages.rs
+++ b/crates/kelpdoor-api/tests/messages.rs
@@ -29,7 +29,7 @@
         "x".repeat(5000),
     ];
     let shown: Vec<String> =
-        cases.iter().map(|c| FromPlayer::read(c).expect_err("a fault").to_string()).collect();
+        cases.iter().map(|c| FromPlayer::parse(c).expect_err("a fault").to_string()).collect();
     expect![[r#"
         not a message: expected value at line 1 column 1
         not a message: missing field `type`
@@ -58,7 +58,7 @@
 
     #[test]
     fn any_text_never_panics(text in "\\PC{0,200}") {
-        let _ = FromPlayer::read(&text);
+        let _ = FromPlayer::parse(&text);
     }
 
     #[test]
@@ -67,7 +67,7 @@
     ) {
         let start = FromPlayer::Start {
             key: RequestKey(key), group: "g".into(), title, best_rung: rung, setup_timeout: timeout, token: None };
-        prop_assert_eq!(FromPlayer::read(&start.text()), Ok(start));
+        prop_assert_eq!(FromPlayer::parse(&start.text()), Ok(start));
     }
 }
 
@@ -79,8 +79,8 @@
     for file in std::fs::read_dir(folder).expect("a corpus") {
         let text = std::fs::read_to_string(file.expect("a file").path()).expect("readable");
         seen += 1;
-        if let Ok(message) = FromPlayer::read(&text) {
-            assert_eq!(FromPlayer::read(&message.text()), Ok(message));
+        if let Ok(message) = FromPlayer::parse(&text) {
+            assert_eq!(FromPlayer::parse(&message.text()), Ok(message));
             good += 1;
         }
     }
--- a/crates/kelpdoor-director/src/desk.rs
+++ b/crates/kelpdoor-director/src/desk.rs
@@ -14,7 +14,7 @@
     Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase as ListPhase, Playing, Reading,
 };
 use kelpdoor::{Director, Orders, Round};
-use kelpdoor_api::{EndedWhy, ErrorCode, FailedWhy, FromPlayer, RequestKey, ToPlayer};
+use kelpdoor_api::{EndReason, ErrorCode, FailureReason, FromPlayer, RequestKey, ToPlayer};
 use kelpdoor_rtsp::{
     LinkDemandHeader, LoadReportHeader, Message, Method, Request, Response, header_names, notify_reasons,
 };
@@ -424,15 +424,15 @@
                 } else if s.wanted.is_none() {
                     self.round.departures.push(SessId(id));
                 }
-                self.answer(id, |key| ToPlayer::Failed { key, why: FailedWhy::Stopped });
+                self.answer(id, |key| ToPlayer::Failed { key, why: FailureReason::Stopped });
                 self.over(id);
             }
-            Stage::Playing => self.end_playing(id, EndedWhy::Stopped),
+            Stage::Playing => self.end_playing(id, EndReason::Stopped),
         }
     }
 
     /// Takes a session off its node; it is over when that is done.
-    fn end_playing(&mut self, id: u64, why: EndedWhy) {
+    fn end_playing(&mut self, id: u64, why: EndReason) {
         self.tear_down(id);
         self.tell_ended(id, why);
         if let Some(s) = self.sess.get_mut(&id) {
@@ -462,7 +462,7 @@
         self.say(sock, message);
     }
 
-    fn tell_ended(&mut self, id: u64, why: EndedWhy) {
+    fn tell_ended(&mut self, id: u64, why: EndReason) {
         let Some(s) = self.sess.get_mut(&id) else { return };
         if s.ended.is_some() {
             return;
@@ -621,7 +621,7 @@
             let how = if sent { Ending::Broken } else { Ending::Unreachable };
             self.ended(id, node, how, stage != Stage::Asked, LoadReport::default());
             if stage != Stage::Asked {
-                self.tell_ended(id, EndedWhy::NodeLost);
+                self.tell_ended(id, EndReason::NodeLost);
                 self.over(id);
             }
         }
@@ -891,7 +891,7 @@
                     self.leave(id, &a);
                 }
                 self.ended(id, node, Ending::Served, true, load_of(&r.headers));
-                self.tell_ended(id, EndedWhy::Finished);
+                self.tell_ended(id, EndReason::Finished);
                 self.over(id);
             }
             other => {
@@ -1071,7 +1071,7 @@
                         self.effects
                             .push(Effect::Fault(format!("session {sess} was left without an answer")));
                         self.round.departures.push(SessId(sess));
-                        self.answer(sess, |key| ToPlayer::Failed { key, why: FailedWhy::NoAnswer });
+                        self.answer(sess, |key| ToPlayer::Failed { key, why: FailureReason::NoAnswer });
                         self.over(sess);
                     }
                 }
@@ -1156,7 +1156,7 @@
             self.sess.iter().filter(|(_, s)| s.stage == Stage::Playing).map(|(id, _)| *id).collect();
         for id in playing {
             self.tear_down(id);
-            self.tell_ended(id, EndedWhy::Closing);
+            self.tell_ended(id, EndReason::Closing);
             self.over(id);
         }
         self.done = true;
@@ -1252,7 +1252,7 @@
     }
 
     fn fail(&mut self, sess: SessId) {
-        self.answer(sess.0, |key| ToPlayer::Failed { key, why: FailedWhy::NoAnswer });
+        self.answer(sess.0, |key| ToPlayer::Failed { key, why: FailureReason::NoAnswer });
         self.over(sess.0);
     }
 
@@ -1263,7 +1263,7 @@
         self.tear_down(id);
         self.leave(id, &a);
         self.ended(id, a.node, Ending::Withdrawn, true, LoadReport::default());
-        self.tell_ended(id, EndedWhy::Shifted);
+        self.tell_ended(id, EndReason::Shifted);
         self.over(id);
     }
 
--- a/crates/kelpdoor-director/src/desk/seats.rs
+++ b/crates/kelpdoor-director/src/desk/seats.rs
@@ -6,7 +6,7 @@
 
 use kelpdoor::ids::SessId;
 use kelpdoor::round::Ending;
-use kelpdoor_api::{EndedWhy, ErrorCode, FailedWhy, FromPlayer, RequestKey, ToPlayer};
+use kelpdoor_api::{EndReason, ErrorCode, FailureReason, FromPlayer, RequestKey, ToPlayer};
 use kelpdoor_seats::{self as seats, Holder, Out, RefusedWhy, School, TokenId};
 use kelpdoor_tokens::Entitlement;
 
@@ -182,7 +182,7 @@
             }
             RefusedWhy::NoKeeper => self.answer(id, |key| ToPlayer::Busy { key, come_back: most }),
             RefusedWhy::Expired => {
-                self.answer(id, |key| ToPlayer::Failed { key, why: FailedWhy::Expired });
+                self.answer(id, |key| ToPlayer::Failed { key, why: FailureReason::Expired });
             }
         }
         self.over(id);
@@ -202,9 +202,9 @@
                     (false, false) => self.round.departures.push(SessId(id)),
                 }
                 let why = match why {
-                    seats::EndedWhy::Expired => FailedWhy::Expired,
-                    seats::EndedWhy::Moved => FailedWhy::SeatMoved,
-                    seats::EndedWhy::Lapsed => FailedWhy::SeatLost,
+                    seats::EndedWhy::Expired => FailureReason::Expired,
+                    seats::EndedWhy::Moved => FailureReason::SeatMoved,
+                    seats::EndedWhy::Lapsed => FailureReason::SeatLost,
                 };
                 self.answer(id, |key| ToPlayer::Failed { key, why });
                 self.over(id);
@@ -212,9 +212,9 @@
             Stage::Playing => self.end_playing(
                 id,
                 match why {
-                    seats::EndedWhy::Expired => EndedWhy::Expired,
-                    seats::EndedWhy::Moved => EndedWhy::SeatMoved,
-                    seats::EndedWhy::Lapsed => EndedWhy::SeatLost,
+                    seats::EndedWhy::Expired => EndReason::Expired,
+                    seats::EndedWhy::Moved => EndReason::SeatMoved,
+                    seats::EndedWhy::Lapsed => EndReason::SeatLost,
                 },
             ),
         }
--- a/crates/kelpdoor-director/src/shell.rs
+++ b/crates/kelpdoor-director/src/shell.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use futures_util::{SinkExt, StreamExt};
-use kelpdoor_api::{ErrorCode, FromPlayer, MAX_MESSAGE, SUBPROTOCOL, ToPlayer};
+use kelpdoor_api::{ErrorCode, FromPlayer, MAX_MESSAGE_BYTES, SUBPROTOCOL, ToPlayer};
 use kelpdoor_clock::{Clock, Steady};
 use kelpdoor_keeper::RunningKeeper;
 use kelpdoor_parts::{CATCH_UP, stood_still};
@@ -670,8 +670,8 @@
         Ok(response)
     };
     let limits = WebSocketConfig::default()
-        .max_message_size(Some(MAX_MESSAGE))
-        .max_frame_size(Some(MAX_MESSAGE))
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
         .read_buffer_size(1024)
         .write_buffer_size(0)
         .max_write_buffer_size(1 << 20);
@@ -744,7 +744,7 @@
                 }
             }
             match message {
-                Message::Text(text) => match FromPlayer::read(text.as_str()) {
+                Message::Text(text) => match FromPlayer::parse(text.as_str()) {
                     Ok(message) => {
                         let came = Instant::now();
                         let input = show(sock, message, verifier.zip(tokens.as_mut()));
--- a/crates/kelpdoor-lab/src/player.rs
+++ b/crates/kelpdoor-lab/src/player.rs
@@ -134,7 +134,7 @@
             match self.ws.next().await {
                 Some(Ok(Message::Text(text))) => {
                     self.keep(true, text.as_str());
-                    if let Ok(message) = ToPlayer::read(text.as_str()) {
+                    if let Ok(message) = ToPlayer::parse(text.as_str()) {
                         return Some(message);
                     }
                 }
--- a/crates/kelpdoor-lab/src/relay.rs
+++ b/crates/kelpdoor-lab/src/relay.rs
@@ -8,7 +8,7 @@
 use anyhow::{Context, Result};
 use fastrand::Rng;
 use futures_util::{SinkExt, StreamExt};
-use kelpdoor_api::{EndedWhy, FromPlayer, RequestKey, SUBPROTOCOL, ToPlayer};
+use kelpdoor_api::{EndReason, FromPlayer, RequestKey, SUBPROTOCOL, ToPlayer};
 use kelpdoor_director::{FromRoster, RosterList, ToRoster};
 use kelpdoor_rtsp::{Message, Method, Request, header_names, parse};
 use kelpdoor_script::Deployment;
@@ -103,7 +103,7 @@
         Message::Response(r) => {
             let Some((to, key, play)) = s.waiting.remove(&(node, r.cseq)) else { return };
             let answer = if !play {
-                ToPlayer::Ended { key, why: EndedWhy::Stopped }
+                ToPlayer::Ended { key, why: EndReason::Stopped }
             } else if r.ok() {
                 let id = r.headers.get(header_names::SESSION).unwrap_or("").to_owned();
                 s.playing.insert(key.clone(), (node, id));
@@ -151,7 +151,7 @@
             message = stream.next() => {
                 let Some(Ok(message)) = message else { return };
                 let Frame::Text(text) = message else { continue };
-                let Ok(message) = FromPlayer::read(text.as_str()) else { continue };
+                let Ok(message) = FromPlayer::parse(text.as_str()) else { continue };
                 let mut s = lock(&shared);
                 match message {
                     FromPlayer::Renew { .. } => {}
--- a/crates/kelpdoor-lab/src/scale/sessions/viewer.rs
+++ b/crates/kelpdoor-lab/src/scale/sessions/viewer.rs
@@ -175,7 +175,7 @@
 async fn hear(line: &mut Line) -> Result<ToPlayer> {
     loop {
         if let Message::Text(text) = line.next().await.context("the connection was closed")?? {
-            return ToPlayer::read(text.as_str()).map_err(|e| anyhow::anyhow!("{e}"));
+            return ToPlayer::parse(text.as_str()).map_err(|e| anyhow::anyhow!("{e}"));
         }
     }
 }
--- a/crates/kelpdoor-lab/tests/seats.rs
+++ b/crates/kelpdoor-lab/tests/seats.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use kelpdoor_api::{EndedWhy, ErrorCode, FailedWhy, FromPlayer, RequestKey, ToPlayer};
+use kelpdoor_api::{EndReason, ErrorCode, FailureReason, FromPlayer, RequestKey, ToPlayer};
 use kelpdoor_director::{Running, ServeOptions, serve};
 use kelpdoor_keeper::{KeeperOptions, RunningKeeper, start};
 use kelpdoor_lab::fleet::{World, director_script, settings};
@@ -157,9 +157,9 @@
     ask(&mut b, "key-00002", hall.token("a", 30.0)).await;
     let (one, two) = (answer(&mut a).await, answer(&mut b).await);
     // Whichever came later has the seat; the other never plays, or is ended.
-    let lost = |m: &ToPlayer| matches!(m, ToPlayer::Failed { why: FailedWhy::SeatMoved, .. });
+    let lost = |m: &ToPlayer| matches!(m, ToPlayer::Failed { why: FailureReason::SeatMoved, .. });
     if !lost(&one) && !lost(&two) {
-        let moved = |m: &ToPlayer| matches!(m, ToPlayer::Ended { why: EndedWhy::SeatMoved, .. });
+        let moved = |m: &ToPlayer| matches!(m, ToPlayer::Ended { why: EndReason::SeatMoved, .. });
         tokio::select! {
             m = hear(&mut a, moved) => assert!(moved(&m)),
             m = hear(&mut b, moved) => assert!(moved(&m)),
--- a/crates/kelpdoor-lab/tests/sockets.rs
+++ b/crates/kelpdoor-lab/tests/sockets.rs
@@ -136,12 +136,12 @@
     for text in ["play it", r#"{"type":"jump"}"#, r#"{"type":"stop","key":"key-nobody"}"#] {
         ws.send(Message::text(text)).await.unwrap();
         let Some(Ok(Message::Text(answer))) = within(5, ws.next()).await else { panic!("no answer") };
-        assert!(matches!(ToPlayer::read(&answer), Ok(ToPlayer::Error { .. })), "{answer}");
+        assert!(matches!(ToPlayer::parse(&answer), Ok(ToPlayer::Error { .. })), "{answer}");
     }
     for message in [start("key-00001", "title-99"), start("key-other", "title-02")] {
         ws.send(Message::text(message.text())).await.unwrap();
         let Some(Ok(Message::Text(answer))) = within(5, ws.next()).await else { panic!("no answer") };
-        assert!(matches!(ToPlayer::read(&answer), Ok(ToPlayer::Error { .. })), "{answer}");
+        assert!(matches!(ToPlayer::parse(&answer), Ok(ToPlayer::Error { .. })), "{answer}");
     }
     ws.send(Message::binary(vec![1, 2, 3])).await.unwrap();
     assert_eq!(closed_with(&mut ws).await, Some(1003));
@@ -189,7 +189,7 @@
     let code = within(10, async {
         loop {
             match ws.next().await {
-                Some(Ok(Message::Text(t))) => match ToPlayer::read(&t) {
+                Some(Ok(Message::Text(t))) => match ToPlayer::parse(&t) {
                     Ok(ToPlayer::Pong { .. }) => pongs += 1,
                     Ok(ToPlayer::Error { code: ErrorCode::TooFast, .. }) => too_fast += 1,
                     other => panic!("{other:?}"),
--- a/fuzz/fuzz_targets/api.rs
+++ b/fuzz/fuzz_targets/api.rs
@@ -4,8 +4,8 @@
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|text: &str| {
-    if let Ok(message) = kelpdoor_api::FromPlayer::read(text) {
-        assert_eq!(kelpdoor_api::FromPlayer::read(&message.text()), Ok(message));
+    if let Ok(message) = kelpdoor_api::FromPlayer::parse(text) {
+        assert_eq!(kelpdoor_api::FromPlayer::parse(&message.text()), Ok(message));
     }
-    let _ = kelpdoor_api::ToPlayer::read(text);
+    let _ = kelpdoor_api::ToPlayer::parse(text);
 });
