--- a/crates/kelpdoor-rtsp/src/message.rs
+++ b/crates/kelpdoor-rtsp/src/message.rs
@@ -1,7 +1,8 @@
-//! Requests and responses, and how they are written.
+//! Requests and responses, and their serialization.
 
 use crate::header_names;
 
+/// Methods in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
     Options,
@@ -11,9 +12,9 @@
     GetParameter,
     Teardown,
     PlayNotify,
-    /// RTSP/1.0 alone (RFC 2326, section 10.3).
+    /// Only in RTSP/1.0 (RFC 2326, section 10.3).
     Announce,
-    /// RTSP/1.0 and 2.0 (RFC 2326, section 10.10).
+    /// Defined in RTSP/1.0 (RFC 2326, section 10.10) and 2.0, accepted here only in RTSP/1.0.
     Redirect,
 }
 
@@ -45,8 +46,8 @@
     }
 }
 
-/// Versions of the protocol: 2.0 as the director's own nodes speak it, 1.0 (RFC 2326) as the users' platform does. They
-/// differ in the word of the start line, in how long messages may be, and in what may be left out.
+/// Protocol version: 2.0 for the director's own nodes, 1.0 (RFC 2326) for the users' platform. The versions differ in the
+/// start line, the limits on lengths, and the header fields that may be omitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
     V1,
@@ -54,6 +55,7 @@
 }
 
 impl Version {
+    /// The version as it appears in start lines.
     pub fn name(self) -> &'static str {
         match self {
             Version::V1 => "RTSP/1.0",
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Bytes of a start line and headers at most, and of a body.
+    /// Maximum bytes of the start line with the headers, and of the body.
     pub fn limits(self) -> (usize, usize) {
         match self {
             Version::V1 => (16 << 10, 16 << 10),
@@ -70,79 +72,88 @@
     }
 }
 
-/// Header fields in order; names compare without regard to case (section 5.2).
+/// Header fields in order. Names are compared without regard to case (section 5.2).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(pub Vec<(String, String)>);
 
 impl Headers {
+    /// Value of the first field with this name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    /// A value read as a number or whatever else parses; `None` where absent or unreadable.
+    /// Value of a field parsed as `T`; `None` if the field is absent or does not parse.
     pub fn parse_value<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.get(name)?.trim().parse().ok()
     }
 
-    /// Adds a field. Bytes that would end the line are dropped, so that no value can forge a header.
+    /// Appends a field. Control characters are dropped from the value, so that it cannot end the line and forge a header.
     pub fn append(&mut self, name: &str, value: impl std::fmt::Display) {
         let clean: String = value.to_string().chars().filter(|c| !c.is_control()).collect();
         self.0.push((name.to_owned(), clean));
     }
 }
 
+/// An RTSP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     pub method: Method,
     pub uri: String,
     pub cseq: u32,
-    /// All fields but CSeq and Content-Length.
+    /// All fields except CSeq and Content-Length.
     pub headers: Headers,
     pub body: Vec<u8>,
 }
 
 impl Request {
+    /// A request without headers and body.
     pub fn new(method: Method, uri: impl Into<String>, cseq: u32) -> Self {
         Request { method, uri: uri.into(), cseq, headers: Headers::default(), body: Vec::new() }
     }
 
+    /// Appends a header field.
     pub fn with(mut self, name: &str, value: impl std::fmt::Display) -> Self {
         self.headers.append(name, value);
         self
     }
 }
 
+/// An RTSP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// 100 to 599 (section 17).
     pub status: u16,
     pub cseq: u32,
+    /// All fields except CSeq and Content-Length.
     pub headers: Headers,
     pub body: Vec<u8>,
 }
 
 impl Response {
+    /// A response without headers and body.
     pub fn new(status: u16, cseq: u32) -> Self {
         Response { status, cseq, headers: Headers::default(), body: Vec::new() }
     }
 
+    /// Appends a header field.
     pub fn with(mut self, name: &str, value: impl std::fmt::Display) -> Self {
         self.headers.append(name, value);
         self
     }
 
+    /// Whether the status is 2xx.
     pub fn ok(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// The node turned the request away without a look, so nothing ran: 453 Not Enough Bandwidth (17.4.20)
-    /// and 503 Service Unavailable (17.5.4).
+    /// Whether the node refused the request without processing it, so that nothing ran: 453 Not Enough Bandwidth
+    /// (section 17.4.20) or 503 Service Unavailable (section 17.5.4).
     pub fn is_refusal(&self) -> bool {
         matches!(self.status, 453 | 503)
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -158,6 +169,7 @@
     }
 }
 
+/// A request or a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     Request(Request),
@@ -172,12 +184,12 @@
         }
     }
 
-    /// Appends the message as it goes on the wire, in version 2.0.
+    /// Appends the serialized message in version 2.0.
     pub fn write(&self, out: &mut Vec<u8>) {
         self.write_as(Version::V2, out);
     }
 
-    /// Appends the message in that version; 1.0 always tells the length of the body.
+    /// Appends the serialized message in the given version. Version 1.0 always states the length of the body.
     pub fn write_as(&self, version: Version, out: &mut Vec<u8>) {
         let v = version.name();
         let (first, cseq, headers, body) = match self {
@@ -185,7 +197,7 @@
                 (format!("{} {} {v}", r.method.name(), r.uri), r.cseq, &r.headers, &r.body)
             }
             Message::Response(r) => {
-                (format!("{v} {} {}", r.status, reason(r.status)), r.cseq, &r.headers, &r.body)
+                (format!("{v} {} {}", r.status, reason_phrase(r.status)), r.cseq, &r.headers, &r.body)
             }
         };
         out.extend_from_slice(first.as_bytes());
@@ -203,6 +215,7 @@
         out.extend_from_slice(body);
     }
 
+    /// The serialized message in version 2.0.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(256);
         self.write(&mut out);
--- a/crates/kelpdoor-rtsp/src/values.rs
+++ b/crates/kelpdoor-rtsp/src/values.rs
@@ -1,27 +1,31 @@
-//! Values of our own headers: pairs like `streams=12;link=0.83;uplink=0.41`. Names not known are skipped, a value
-//! that is no finite number of at least 0 counts as absent: a node that errs there must not move decisions.
+//! Values of the extension headers: pairs such as `streams=12;link=0.83;uplink=0.41`.
+//!
+//! Unknown names are skipped. A value that is not a finite number of at least 0 counts as absent, because a faulty node
+//! must not influence decisions.
 
 use std::fmt;
 
-/// `Load-Report`: in answers, refreshed now and then by the node, so a little old and noisy.
+/// `Load-Report`, in responses. The node refreshes the values only from time to time, so they are slightly old and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReportHeader {
-    /// Streams run or being set up.
+    /// Streams that play or are being set up.
     pub streams: Option<f64>,
-    /// What is asked of the link over what it gives.
+    /// Demand on the node's link, relative to what the link delivers.
     pub link: Option<f64>,
-    /// The same of the rack's uplink.
+    /// Demand on the rack's uplink, relative to what the uplink delivers.
     pub uplink: Option<f64>,
 }
 
-/// `Asked`: in the answer to PLAY and in notices of `link-load`; read off the link itself.
+/// `Asked`, in responses to PLAY and in `link-load` notifications: the demand measured on the link itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkDemandHeader {
+    /// As in [`LoadReportHeader`].
     pub link: Option<f64>,
+    /// As in [`LoadReportHeader`].
     pub uplink: Option<f64>,
 }
 
-fn pairs(text: &str) -> impl Iterator<Item = (&str, f64)> {
+fn parse_pairs(text: &str) -> impl Iterator<Item = (&str, f64)> {
     text.split(';').filter_map(|pair| {
         let (name, value) = pair.split_once('=')?;
         let value: f64 = value.trim().parse().ok()?;
@@ -29,7 +33,7 @@
     })
 }
 
-fn show(f: &mut fmt::Formatter<'_>, pairs: &[(&str, Option<f64>)]) -> fmt::Result {
+fn write_pairs(f: &mut fmt::Formatter<'_>, pairs: &[(&str, Option<f64>)]) -> fmt::Result {
     let mut first = true;
     for (name, value) in pairs.iter().filter_map(|(n, v)| Some((n, (*v)?))) {
         write!(f, "{}{name}={value:.3}", if first { "" } else { ";" })?;
@@ -39,9 +43,10 @@
 }
 
 impl LoadReportHeader {
+    /// Parses a header value.
     pub fn parse(text: &str) -> Self {
         let mut load = LoadReportHeader::default();
-        for (name, value) in pairs(text) {
+        for (name, value) in parse_pairs(text) {
             match name {
                 "streams" => load.streams = Some(value),
                 "link" => load.link = Some(value),
@@ -55,11 +60,12 @@
 
 impl fmt::Display for LoadReportHeader {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        show(f, &[("streams", self.streams), ("link", self.link), ("uplink", self.uplink)])
+        write_pairs(f, &[("streams", self.streams), ("link", self.link), ("uplink", self.uplink)])
     }
 }
 
 impl LinkDemandHeader {
+    /// Parses a header value.
     pub fn parse(text: &str) -> Self {
         let load = LoadReportHeader::parse(text);
         LinkDemandHeader { link: load.link, uplink: load.uplink }
@@ -68,6 +74,6 @@
 
 impl fmt::Display for LinkDemandHeader {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        show(f, &[("link", self.link), ("uplink", self.uplink)])
+        write_pairs(f, &[("link", self.link), ("uplink", self.uplink)])
     }
 }
--- a/crates/kelpdoor-rtsp/tests/roundtrip.rs
+++ b/crates/kelpdoor-rtsp/tests/roundtrip.rs
@@ -1,4 +1,4 @@
-//! The parser against its writer, against cut and changed bytes, and against each limit.
+//! The parser on written, truncated and corrupted messages, and at each limit.
 
 use kelpdoor_rtsp::*;
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_reads_back(first in message(), second in message()) {
+    fn written_messages_parse_back(first in message(), second in message()) {
         let mut bytes = first.to_bytes();
         let len = bytes.len();
         second.write(&mut bytes);
@@ -31,7 +31,7 @@
     }
 
     #[test]
-    fn the_older_version_reads_back_and_only_as_itself(message in message()) {
+    fn v1_message_parses_back_only_as_v1(message in message()) {
         let mut bytes = Vec::new();
         message.write_as(Version::V1, &mut bytes);
         let len = bytes.len();
@@ -40,7 +40,7 @@
     }
 
     #[test]
-    fn methods_of_the_older_version_are_no_part_of_the_newer(last in 7..9usize) {
+    fn v1_method_in_v2_is_unsupported(last in 7..9usize) {
         let request = Message::from(Request::new(Method::ALL[last], "rtsp://media/x", 4));
         let mut bytes = Vec::new();
         request.write_as(Version::V1, &mut bytes);
@@ -49,14 +49,14 @@
     }
 
     #[test]
-    fn a_part_of_a_message_is_waited_for(message in message(), cut in any::<prop::sample::Index>()) {
+    fn truncated_message_is_incomplete(message in message(), cut in any::<prop::sample::Index>()) {
         let bytes = message.to_bytes();
         let cut = cut.index(bytes.len());
         prop_assert_eq!(parse(&bytes[..cut]), Ok(None));
     }
 
     #[test]
-    fn changed_bytes_never_panic(message in message(), at in any::<prop::sample::Index>(), to in any::<u8>()) {
+    fn corrupted_message_does_not_panic(message in message(), at in any::<prop::sample::Index>(), to in any::<u8>()) {
         let mut bytes = message.to_bytes();
         let at = at.index(bytes.len());
         bytes[at] = to;
@@ -66,14 +66,14 @@
     }
 
     #[test]
-    fn any_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         if let Ok(Some((_, len))) = parse(&bytes) {
             prop_assert!(len <= bytes.len());
         }
     }
 
     #[test]
-    fn values_read_back(streams in 0..9999u32, link in 0.0..20.0f64, junk in "[ -~]{0,40}") {
+    fn load_report_value_parses_back(streams in 0..9999u32, link in 0.0..20.0f64, junk in "[ -~]{0,40}") {
         let load = LoadReportHeader { streams: Some(streams.into()), link: Some(link), uplink: None };
         let back = LoadReportHeader::parse(&load.to_string());
         prop_assert_eq!(back.streams, load.streams);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn each_limit_has_its_fault() {
+fn malformed_or_oversized_message_returns_its_error() {
     let long = format!("OPTIONS * RTSP/2.0\r\nCSeq: 1\r\nX: {}\r\n\r\n", "y".repeat(4096));
     let many = format!("OPTIONS * RTSP/2.0\r\nCSeq: 1\r\n{}\r\n", "X: y\r\n".repeat(MAX_HEADERS));
     let cases: [(&str, ParseError); 9] = [
@@ -98,22 +98,22 @@
         ("RTSP/2.0 200 OK\r\n\r\n", ParseError::CSeq),
         ("RTSP/2.0 200 OK\r\nCSeq: 1\r\nbad line\r\n\r\n", ParseError::Header(2, "bad line".into())),
     ];
-    for (text, fault) in cases {
-        assert_eq!(parse(text.as_bytes()), Err(fault), "{:.60}", text);
+    for (text, error) in cases {
+        assert_eq!(parse(text.as_bytes()), Err(error), "{:.60}", text);
     }
 }
 
 #[test]
-fn a_value_cannot_forge_a_header() {
+fn control_characters_in_value_do_not_forge_a_header() {
     let forged = Request::new(Method::Setup, "rtsp://n/t", 1).with("Request-Key", "a\r\nRung: 9");
     let bytes = Message::from(forged).to_bytes();
     let Ok(Some((Message::Request(read), _))) = parse(&bytes) else { panic!("unreadable") };
     assert_eq!(read.headers.get("Rung"), None);
 }
 
-/// What the fuzz target checks, on its kept corpus.
+/// The check of the fuzz target, on its stored corpus.
 #[test]
-fn the_corpus_holds() {
+fn fuzz_corpus_parses_back() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fuzz/corpus/rtsp");
     let (mut seen, mut good) = (0, 0);
     for file in std::fs::read_dir(folder).expect("a corpus") {
