--- a/crates/kelpdoor-terms/src/cursor.rs
+++ b/crates/kelpdoor-terms/src/cursor.rs
@@ -1,14 +1,14 @@
-//! A place in the settings, which knows its own name.
+//! A position in a JSON document that reads typed values and names its path in errors.
 
 use std::ops::RangeInclusive;
 
 use anyhow::{Result, bail, ensure};
 use serde_json::Value;
 
-/// Of a bad value, characters shown at most.
-const SHOWN: usize = 40;
+/// Maximum number of characters of a bad value that an error shows.
+const MAX_SHOWN_CHARS: usize = 40;
 
-/// A place in the settings. `null` stands for nothing, as absence does.
+/// A value in the settings and its path. `null` is read like an absent value.
 #[derive(Clone)]
 pub struct JsonCursor<'a> {
     value: &'a Value,
@@ -16,97 +16,106 @@
 }
 
 impl<'a> JsonCursor<'a> {
+    /// The document itself.
+    ///
+    /// # Errors
+    /// If it is not an object.
     pub fn root(value: &'a Value) -> Result<Self> {
         ensure!(value.is_object(), "not a JSON object");
         Ok(JsonCursor { value, path: String::new() })
     }
 
-    fn fault<T>(&self, wanted: &str) -> Result<T> {
+    /// An error with the path, the start of the value, and what it is not.
+    fn type_error<T>(&self, mismatch: &str) -> Result<T> {
         let all = self.value.to_string();
-        let shown: String = all.chars().take(SHOWN).collect();
+        let shown: String = all.chars().take(MAX_SHOWN_CHARS).collect();
         let cut = if shown.len() < all.len() { ".." } else { "" };
-        bail!("{}: {shown}{cut} is {wanted}", self.path)
+        bail!("{}: {shown}{cut} is {mismatch}", self.path)
     }
 
-    pub fn to(&self, key: &str) -> Result<JsonCursor<'a>> {
+    /// The member `key` of an object; a null value if it is absent.
+    pub fn member(&self, key: &str) -> Result<JsonCursor<'a>> {
         let value = match self.value {
             Value::Object(members) => members.get(key).unwrap_or(&Value::Null),
             Value::Null => &Value::Null,
-            _ => return self.fault("no object"),
+            _ => return self.type_error("not an object"),
         };
         let path = if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) };
         Ok(JsonCursor { value, path })
     }
 
-    /// A number within that range.
-    pub fn num(&self, range: RangeInclusive<f64>) -> Result<Option<f64>> {
+    /// A number within the range; `None` if absent.
+    pub fn number(&self, range: RangeInclusive<f64>) -> Result<Option<f64>> {
         match self.value {
             Value::Null => Ok(None),
             value => match value.as_f64().filter(|n| range.contains(n)) {
                 Some(n) => Ok(Some(n)),
                 None if *range.end() == f64::MAX => {
-                    self.fault(&format!("no number from {} on", range.start()))
+                    self.type_error(&format!("no number from {} on", range.start()))
                 }
-                None => self.fault(&format!("no number from {} to {}", range.start(), range.end())),
+                None => self.type_error(&format!("not a number from {} to {}", range.start(), range.end())),
             },
         }
     }
 
-    /// A whole number from 0, also one written with a fraction of 0.
-    pub fn whole(&self, most: u64) -> Result<Option<u64>> {
+    /// An integer from 0 to `limit`, also if written with a zero fraction; `None` if absent.
+    pub fn integer(&self, limit: u64) -> Result<Option<u64>> {
         match self.value {
             Value::Null => Ok(None),
-            value => match value.as_f64().filter(|n| n.fract() == 0.0 && (0.0..=most as f64).contains(n)) {
+            value => match value.as_f64().filter(|n| n.fract() == 0.0 && (0.0..=limit as f64).contains(n)) {
                 Some(n) => Ok(Some(n as u64)),
-                None => self.fault(&format!("no whole number from 0 to {most}")),
+                None => self.type_error(&format!("not an integer from 0 to {limit}")),
             },
         }
     }
 
-    /// A time in milliseconds, as seconds; 0 when absent.
+    /// A duration in milliseconds, converted to seconds; 0 if absent.
     pub fn seconds(&self) -> Result<f64> {
-        Ok(self.num(0.0..=f64::MAX)?.unwrap_or(0.0) / 1000.0)
+        Ok(self.number(0.0..=f64::MAX)?.unwrap_or(0.0) / 1000.0)
     }
 
-    /// No when absent.
-    pub fn yes(&self) -> Result<bool> {
+    /// A boolean; false if absent.
+    pub fn boolean(&self) -> Result<bool> {
         match self.value {
             Value::Null => Ok(false),
-            Value::Bool(yes) => Ok(*yes),
-            _ => self.fault("neither true nor false"),
+            Value::Bool(value) => Ok(*value),
+            _ => self.type_error("neither true nor false"),
         }
     }
 
-    /// Empty when absent.
-    pub fn word(&self) -> Result<String> {
+    /// A string; empty if absent.
+    pub fn string(&self) -> Result<String> {
         match self.value {
             Value::Null => Ok(String::new()),
-            Value::String(word) => Ok(word.clone()),
-            _ => self.fault("no text"),
+            Value::String(text) => Ok(text.clone()),
+            _ => self.type_error("not a string"),
         }
     }
 
-    /// Empty when absent.
+    /// The elements of a list; empty if absent.
     pub fn list(&self) -> Result<Vec<JsonCursor<'a>>> {
         match self.value {
             Value::Null => Ok(Vec::new()),
             Value::Array(all) => {
-                let place = |(i, value)| JsonCursor { value, path: format!("{}[{i}]", self.path) };
-                Ok(all.iter().enumerate().map(place).collect())
+                let element = |(i, value)| JsonCursor { value, path: format!("{}[{i}]", self.path) };
+                Ok(all.iter().enumerate().map(element).collect())
             }
-            _ => self.fault("no list"),
+            _ => self.type_error("not a list"),
         }
     }
 
-    pub fn nums(&self, range: RangeInclusive<f64>) -> Result<Vec<f64>> {
-        self.list()?.iter().map(|v| Ok(v.num(range.clone())?.unwrap_or(0.0))).collect()
+    /// A list of numbers within the range; a null element is read as 0.
+    pub fn numbers(&self, range: RangeInclusive<f64>) -> Result<Vec<f64>> {
+        self.list()?.iter().map(|v| Ok(v.number(range.clone())?.unwrap_or(0.0))).collect()
     }
 
-    pub fn wholes(&self, most: u64) -> Result<Vec<u64>> {
-        self.list()?.iter().map(|v| Ok(v.whole(most)?.unwrap_or(0))).collect()
+    /// A list of integers from 0 to `limit`; a null element is read as 0.
+    pub fn integers(&self, limit: u64) -> Result<Vec<u64>> {
+        self.list()?.iter().map(|v| Ok(v.integer(limit)?.unwrap_or(0))).collect()
     }
 
-    pub fn words(&self) -> Result<Vec<String>> {
-        self.list()?.iter().map(JsonCursor::word).collect()
+    /// A list of strings; a null element is read as empty.
+    pub fn strings(&self) -> Result<Vec<String>> {
+        self.list()?.iter().map(JsonCursor::string).collect()
     }
 }
