--- a/crates/kelpdoor-lab/tests/seats.rs
+++ b/crates/kelpdoor-lab/tests/seats.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use kelpdoor_api::{EndedWhy, ErrorCode, FailedWhy, FromPlayer, RequestKey, ToPlayer};
+use kelpdoor_api::{EndReason, ErrorCode, FailureReason, FromPlayer, RequestKey, ToPlayer};
 use kelpdoor_director::{Running, ServeOptions, serve};
 use kelpdoor_keeper::{KeeperOptions, RunningKeeper, start};
 use kelpdoor_lab::fleet::{World, director_script, settings};
@@ -64,7 +64,7 @@
             .replace(tickets::KEEPER, &keeper.to_string());
         let script =
             director_script(&shared, &self.size, me, self.world.roster_at, Path::new("/nonexistent/list"));
-        let deployment = Deployment::run("test", &script).expect("good settings");
+        let deployment = Deployment::parse("test", &script).expect("good settings");
         let running =
             serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
         within(10, async {
@@ -157,9 +157,9 @@
     ask(&mut b, "key-00002", hall.token("a", 30.0)).await;
     let (one, two) = (answer(&mut a).await, answer(&mut b).await);
     // Whichever came later has the seat; the other never plays, or is ended.
-    let lost = |m: &ToPlayer| matches!(m, ToPlayer::Failed { why: FailedWhy::SeatMoved, .. });
+    let lost = |m: &ToPlayer| matches!(m, ToPlayer::Failed { why: FailureReason::SeatMoved, .. });
     if !lost(&one) && !lost(&two) {
-        let moved = |m: &ToPlayer| matches!(m, ToPlayer::Ended { why: EndedWhy::SeatMoved, .. });
+        let moved = |m: &ToPlayer| matches!(m, ToPlayer::Ended { why: EndReason::SeatMoved, .. });
         tokio::select! {
             m = hear(&mut a, moved) => assert!(moved(&m)),
             m = hear(&mut b, moved) => assert!(moved(&m)),
@@ -249,7 +249,7 @@
     let script =
         director_script(&shared, &hall.size, 0, hall.world.roster_at, Path::new("/nonexistent/list"));
     let begin = async || {
-        let deployment = Deployment::run("test", &script).expect("good settings");
+        let deployment = Deployment::parse("test", &script).expect("good settings");
         let running =
             serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
         within(10, async {
--- a/crates/kelpdoor-platform/src/media.rs
+++ b/crates/kelpdoor-platform/src/media.rs
@@ -75,14 +75,14 @@
 
 fn load(headers: &Headers, fields: &ReportFields) -> LoadReport {
     let Some(text) = headers.get("X-Gauges") else { return LoadReport::default() };
-    fields.by_name(|name| {
+    fields.load_report_by_name(|name| {
         let value = text.split(';').filter_map(|p| p.split_once(':')).find(|(n, _)| n.trim() == name)?.1;
         value.trim().parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)
     })
 }
 
 fn note(headers: &Headers) -> Option<Note> {
-    let value: f64 = headers.read("X-Reading").filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
+    let value: f64 = headers.parse_value("X-Reading").filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
     Some(match headers.get("X-Outcome")? {
         "fill" => Note::Delivered(value),
         "grade" => Note::Rung(value as u8),
