--- a/crates/kelpdoor-director/src/desk.rs
+++ b/crates/kelpdoor-director/src/desk.rs
@@ -153,7 +153,8 @@
             Input::Player { sock, message } => h.player(sock, message, waited.max(0.0), Shown::Nothing),
             Input::Shown { sock, message, shown } => h.shown(sock, message, waited.max(0.0), shown),
             Input::Keeper(word) => {
-                let out = h.holder.as_mut().map(|holder| holder.heard(h.now, &word)).unwrap_or_default();
+                let out =
+                    h.holder.as_mut().map(|holder| holder.handle_response(h.now, &word)).unwrap_or_default();
                 h.seats_out(out);
             }
             Input::SocketLost { sock } => h.socket_lost(sock),
@@ -200,7 +201,7 @@
     pub fn wake_at(&self) -> f64 {
         let h = &self.hands;
         let more = !h.round.ended.is_empty() || !h.round.departures.is_empty();
-        let seats = h.holder.as_ref().map(Holder::next);
+        let seats = h.holder.as_ref().map(Holder::next_timer_at);
         let due = [h.wake, h.timers.next(), more.then_some(h.now), seats];
         due.into_iter().flatten().fold(f64::INFINITY, f64::min)
     }
--- a/crates/kelpdoor-director/src/desk/seats.rs
+++ b/crates/kelpdoor-director/src/desk/seats.rs
@@ -7,7 +7,7 @@
 use kelpdoor::ids::SessId;
 use kelpdoor::round::Ending;
 use kelpdoor_api::{EndedWhy, ErrorCode, FailedWhy, FromPlayer, RequestKey, ToPlayer};
-use kelpdoor_seats::{self as seats, Holder, Out, RefusedWhy, School, TokenId};
+use kelpdoor_seats::{self as seats, Holder, Output, RefusalReason, School, TokenId};
 use kelpdoor_tokens::Entitlement;
 
 use super::Hands;
@@ -61,10 +61,10 @@
             s.seat = Some(Seat { name: name.clone(), expires: e.expires, waiting: true, watched: false });
         }
         if let Some(before) = self.seat_of.insert(name.clone(), id) {
-            self.lose_seat(before, seats::EndedWhy::Moved);
+            self.lose_seat(before, seats::EndReason::Moved);
         }
         let Some(holder) = &mut self.holder else { return };
-        let out = holder.ask(now, &name.0, &name.1, e.expires, left);
+        let out = holder.request_seat(now, &name.0, &name.1, e.expires, left);
         self.seats_out(out);
     }
 
@@ -97,7 +97,7 @@
         let (waiting, lasts) = (seat.waiting, seat.expires - now);
         self.bind(id, sock);
         let Some(holder) = &mut self.holder else { return };
-        let out = holder.ask(now, &e.school, &e.token, e.expires, f64::INFINITY);
+        let out = holder.request_seat(now, &e.school, &e.token, e.expires, f64::INFINITY);
         if !waiting {
             self.watch_seat(id);
         }
@@ -137,23 +137,24 @@
     }
 
     /// Does what the holder says.
-    pub(super) fn seats_out(&mut self, out: Vec<Out>) {
+    pub(super) fn seats_out(&mut self, out: Vec<Output>) {
         for o in out {
             match o {
-                Out::Send(word) => self.effects.push(Effect::Keeper(word)),
-                Out::Granted { school, token } => match self.seat_of.get(&(school.clone(), token.clone())) {
+                Output::Send(word) => self.effects.push(Effect::Keeper(word)),
+                Output::Granted { school, token } => match self.seat_of.get(&(school.clone(), token.clone()))
+                {
                     Some(&id) => self.seated(id),
                     None => {
                         let back = self.holder.as_mut().map(|h| h.release(self.now, &school, &token));
                         self.seats_out(back.unwrap_or_default());
                     }
                 },
-                Out::Refused { school, token, why } => {
+                Output::Refused { school, token, why } => {
                     if let Some(id) = self.seat_of.remove(&(school, token)) {
                         self.no_seat(id, why);
                     }
                 }
-                Out::Ended { school, token, why } => {
+                Output::Ended { school, token, why } => {
                     if let Some(id) = self.seat_of.remove(&(school, token)) {
                         self.lose_seat(id, why);
                     }
@@ -170,18 +171,18 @@
         }
     }
 
-    fn no_seat(&mut self, id: u64, why: RefusedWhy) {
+    fn no_seat(&mut self, id: u64, why: RefusalReason) {
         let most = self.book.director.come_back;
         if let Some(s) = self.sess.get_mut(&id) {
             s.seat = None;
         }
         match why {
-            RefusedWhy::Full { come_back } => {
+            RefusalReason::Full { come_back } => {
                 let come_back = Some(most.map_or(come_back, |most| come_back.min(most)));
                 self.answer(id, |key| ToPlayer::Busy { key, come_back });
             }
-            RefusedWhy::NoKeeper => self.answer(id, |key| ToPlayer::Busy { key, come_back: most }),
-            RefusedWhy::Expired => {
+            RefusalReason::NoKeeper => self.answer(id, |key| ToPlayer::Busy { key, come_back: most }),
+            RefusalReason::Expired => {
                 self.answer(id, |key| ToPlayer::Failed { key, why: FailedWhy::Expired });
             }
         }
@@ -189,7 +190,7 @@
     }
 
     /// A session's seat is no more its own: it ends, wherever it is.
-    fn lose_seat(&mut self, id: u64, why: seats::EndedWhy) {
+    fn lose_seat(&mut self, id: u64, why: seats::EndReason) {
         let Some(s) = self.sess.get_mut(&id) else { return };
         let waiting = s.seat.take().is_some_and(|seat| seat.waiting);
         let (stage, out) = (s.stage, s.attempt.is_some());
@@ -202,9 +203,9 @@
                     (false, false) => self.round.departures.push(SessId(id)),
                 }
                 let why = match why {
-                    seats::EndedWhy::Expired => FailedWhy::Expired,
-                    seats::EndedWhy::Moved => FailedWhy::SeatMoved,
-                    seats::EndedWhy::Lapsed => FailedWhy::SeatLost,
+                    seats::EndReason::Expired => FailedWhy::Expired,
+                    seats::EndReason::Moved => FailedWhy::SeatMoved,
+                    seats::EndReason::Lapsed => FailedWhy::SeatLost,
                 };
                 self.answer(id, |key| ToPlayer::Failed { key, why });
                 self.over(id);
@@ -212,9 +213,9 @@
             Stage::Playing => self.end_playing(
                 id,
                 match why {
-                    seats::EndedWhy::Expired => EndedWhy::Expired,
-                    seats::EndedWhy::Moved => EndedWhy::SeatMoved,
-                    seats::EndedWhy::Lapsed => EndedWhy::SeatLost,
+                    seats::EndReason::Expired => EndedWhy::Expired,
+                    seats::EndReason::Moved => EndedWhy::SeatMoved,
+                    seats::EndReason::Lapsed => EndedWhy::SeatLost,
                 },
             ),
         }
@@ -234,7 +235,7 @@
 /// The director's side of the seats, if any group needs them.
 pub(super) fn holder(book: &kelpdoor_script::Deployment, nonce: impl FnOnce() -> u64) -> Option<Holder> {
     let k = book.keeper.as_ref().filter(|_| book.groups.iter().any(|g| g.token))?;
-    let lease = seats::Lease { lasts: k.lease, clock_error: k.clock_error };
-    let patience = seats::Patience::new(k.wait, k.beat_every, k.ahead);
+    let lease = seats::LeaseTerms { duration: k.lease, clock_error: k.clock_error };
+    let patience = seats::HolderTimeouts::new(k.wait, k.beat_every, k.ahead);
     Some(Holder::new(seats::DirectorId(book.director.me), nonce(), lease, patience))
 }
--- a/crates/kelpdoor-director/src/effect.rs
+++ b/crates/kelpdoor-director/src/effect.rs
@@ -6,7 +6,7 @@
 use kelpdoor_api::{FromPlayer, ToPlayer};
 use kelpdoor_rtsp::Message;
 use kelpdoor_script::Deployment;
-use kelpdoor_seats::{FromKeeper, ToKeeper};
+use kelpdoor_seats::{KeeperRequest, KeeperResponse};
 use kelpdoor_tokens::Entitlement;
 use serde::{Deserialize, Serialize};
 
@@ -49,7 +49,7 @@
         shown: Shown,
     },
     /// A word of the keeper's of seats.
-    Keeper(FromKeeper),
+    Keeper(KeeperResponse),
     /// A socket is gone; its sessions may be taken up on another one.
     SocketLost {
         sock: u64,
@@ -117,7 +117,7 @@
     },
     AskRoster(ToRoster),
     /// For the keeper of seats; lost where it cannot be reached, and said again by the desk.
-    Keeper(ToKeeper),
+    Keeper(KeeperRequest),
     SaveList(Box<RosterList>),
     /// For the log.
     Note {
--- a/crates/kelpdoor-director/src/keeping.rs
+++ b/crates/kelpdoor-director/src/keeping.rs
@@ -7,7 +7,7 @@
 
 use kelpdoor_keeper::{Ask, KeeperOptions, RunningKeeper, Tell};
 use kelpdoor_script::{Keeper, School};
-use kelpdoor_seats::{Lease, ToKeeper};
+use kelpdoor_seats::{KeeperRequest, LeaseTerms};
 use kelpdoor_tokens::pool;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
@@ -28,7 +28,7 @@
     KeeperOptions {
         listen: keeper.listen.unwrap_or_else(|| SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
         ledger: keeper.ledger.clone(),
-        lease: Lease { lasts: keeper.lease, clock_error: keeper.clock_error },
+        lease: LeaseTerms { duration: keeper.lease, clock_error: keeper.clock_error },
         schools: pools(schools),
         agreed: None,
     }
@@ -50,7 +50,7 @@
 
 /// Carries words to and fro until the desk's side is closed and all it said is written.
 pub async fn follow(
-    address: SocketAddr, inputs: mpsc::Sender<(Instant, Input)>, mut words: mpsc::Receiver<ToKeeper>,
+    address: SocketAddr, inputs: mpsc::Sender<(Instant, Input)>, mut words: mpsc::Receiver<KeeperRequest>,
 ) {
     let mut wait = WAIT.0;
     loop {
@@ -84,7 +84,7 @@
 
 /// One connection to its end; `None` when the desk's side is closed.
 async fn talk(
-    stream: TcpStream, inputs: &mpsc::Sender<(Instant, Input)>, words: &mut mpsc::Receiver<ToKeeper>,
+    stream: TcpStream, inputs: &mpsc::Sender<(Instant, Input)>, words: &mut mpsc::Receiver<KeeperRequest>,
 ) -> Option<String> {
     let (read, mut write) = stream.into_split();
     let reader = async {
--- a/crates/kelpdoor-director/src/shell.rs
+++ b/crates/kelpdoor-director/src/shell.rs
@@ -16,7 +16,7 @@
 use kelpdoor_keeper::RunningKeeper;
 use kelpdoor_parts::{CATCH_UP, stood_still};
 use kelpdoor_script::Deployment;
-use kelpdoor_seats::ToKeeper;
+use kelpdoor_seats::KeeperRequest;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
@@ -223,7 +223,7 @@
     saver: JoinHandle<()>,
     /// The keeper of seats, if it runs here; words to it, and what carries them.
     keeper: Option<RunningKeeper>,
-    words: Option<mpsc::Sender<ToKeeper>>,
+    words: Option<mpsc::Sender<KeeperRequest>>,
     keeping: JoinSet<()>,
     /// Ended with the shell.
     tasks: JoinSet<()>,
--- a/crates/kelpdoor-director/tests/desk.rs
+++ b/crates/kelpdoor-director/tests/desk.rs
@@ -10,7 +10,7 @@
 use kelpdoor_api::{FromPlayer, RequestKey, ToPlayer};
 use kelpdoor_director::{Effect, Input, NodeWord, Phase, Shown};
 use kelpdoor_rtsp::{Message, Method, Response, names};
-use kelpdoor_seats::{Lease, Ledger, School, ToKeeper, TokenId};
+use kelpdoor_seats::{KeeperRequest, LeaseTerms, Ledger, School, TokenId};
 use kelpdoor_tokens::Entitlement;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -118,8 +118,8 @@
 }
 
 fn ledger() -> Ledger {
-    let mut ledger = Ledger::new(Lease { lasts: 12.0, clock_error: 1.0 });
-    ledger.buy(&School("olaf".into()), 3);
+    let mut ledger = Ledger::new(LeaseTerms { duration: 12.0, clock_error: 1.0 });
+    ledger.set_seats(&School("olaf".into()), 3);
     ledger
 }
 
@@ -138,7 +138,7 @@
     done: bool,
     /// The keeper, words on their way to it, and the token that each key showed.
     ledger: Ledger,
-    words: Vec<ToKeeper>,
+    words: Vec<KeeperRequest>,
     tokens: BTreeMap<String, u8>,
     keeping: bool,
     /// Where rules are agreed: until when something may be begun, and whether SETUPs leave too late for it.
@@ -282,7 +282,7 @@
             }
             let word = self.words.remove(0);
             if !lost {
-                let answers = self.ledger.take(self.bench.now, &word);
+                let answers = self.ledger.handle_request(self.bench.now, &word);
                 answers.into_iter().for_each(|(_, word)| self.input(Input::Keeper(word)));
             }
         }
@@ -493,8 +493,8 @@
         prop_assert!(counts.timers < 60, "timers left: {:?}", counts);
         let now = peers.bench.now;
         peers.ledger.expire(now);
-        let seats = peers.ledger.standing(&School("olaf".into()));
-        prop_assert_eq!((seats.held, seats.free + seats.lent), (0, 3), "seats left: {:?}", seats);
+        let seats = peers.ledger.status(&School("olaf".into()));
+        prop_assert_eq!((seats.held, seats.free + seats.leased), (0, 3), "seats left: {:?}", seats);
     }
 
     #[test]
--- a/crates/kelpdoor-director/tests/seats.rs
+++ b/crates/kelpdoor-director/tests/seats.rs
@@ -8,7 +8,7 @@
 use kelpdoor_api::{FromPlayer, RequestKey};
 use kelpdoor_director::{Effect, Input, Shown};
 use kelpdoor_rtsp::{Method, names};
-use kelpdoor_seats::{DirectorId, Epoch, FromKeeper, Lease, Ledger, School, ToKeeper, TokenId};
+use kelpdoor_seats::{DirectorId, Epoch, KeeperRequest, KeeperResponse, LeaseTerms, Ledger, School, TokenId};
 use kelpdoor_tokens::Entitlement;
 
 /// A desk with its keeper; what was said is noted.
@@ -23,8 +23,8 @@
 
 impl Hall {
     fn new() -> Hall {
-        let mut ledger = Ledger::new(Lease { lasts: 12.0, clock_error: 1.0 });
-        ledger.buy(&School("olaf".into()), 2);
+        let mut ledger = Ledger::new(LeaseTerms { duration: 12.0, clock_error: 1.0 });
+        ledger.set_seats(&School("olaf".into()), 2);
         let mut bench = Bench::new(&book(), 1);
         let effects = bench.input(Input::Roster(roster()));
         bench.connect(&effects);
@@ -38,7 +38,7 @@
     fn done(&mut self, effects: Vec<Effect>) {
         self.lines
             .extend(told(&effects).into_iter().map(|l| format!("{:.1} {l}", self.bench.now - common::START)));
-        let mut words: Vec<ToKeeper> = Vec::new();
+        let mut words: Vec<KeeperRequest> = Vec::new();
         for (node, link, r) in requests(&effects) {
             match r.method {
                 Method::Setup => {
@@ -72,7 +72,7 @@
             return;
         }
         for word in words {
-            for (_, answer) in self.ledger.take(self.bench.now, &word) {
+            for (_, answer) in self.ledger.handle_request(self.bench.now, &word) {
                 let more = self.bench.input(Input::Keeper(answer));
                 self.done(more);
             }
@@ -108,7 +108,7 @@
     }
 
     fn held(&self) -> u32 {
-        self.ledger.standing(&School("olaf".into())).held
+        self.ledger.status(&School("olaf".into())).held
     }
 
     fn show(&self, expected: Expect) {
@@ -146,12 +146,16 @@
     hall.start("key-00002", hall.good("a", 60.0));
     assert_eq!(hall.held(), 1);
     // Elsewhere, then.
-    let word = ToKeeper::Hello { director: DirectorId(9), nonce: 1 };
+    let word = KeeperRequest::Hello { director: DirectorId(9), nonce: 1 };
     let now = hall.bench.now;
-    let Some((_, FromKeeper::Welcome { epoch, .. })) = hall.ledger.take(now, &word).pop() else { panic!() };
+    let Some((_, KeeperResponse::Welcome { epoch, .. })) = hall.ledger.handle_request(now, &word).pop()
+    else {
+        panic!()
+    };
     let (school, token) = (School("olaf".into()), TokenId("a".into()));
-    let claim = ToKeeper::Claim { director: DirectorId(9), epoch, school, token, expires: now + 60.0, n: 1 };
-    hall.ledger.take(now, &claim);
+    let claim =
+        KeeperRequest::Claim { director: DirectorId(9), epoch, school, token, expires: now + 60.0, n: 1 };
+    hall.ledger.handle_request(now, &claim);
     // The word of it is lost; it comes with a beat.
     hall.wait(4.0);
     hall.show(expect![[r#"
--- a/crates/kelpdoor-keeper/benches/grants.rs
+++ b/crates/kelpdoor-keeper/benches/grants.rs
@@ -5,12 +5,12 @@
 use std::time::Instant;
 
 use kelpdoor_keeper::{Ask, KeeperOptions, Log, start};
-use kelpdoor_seats::{Change, DirectorId, Epoch, Lease, Ledger, School, ToKeeper, TokenId};
+use kelpdoor_seats::{Change, DirectorId, Epoch, KeeperRequest, LeaseTerms, Ledger, School, TokenId};
 use redb::{Database, TableDefinition};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-const LEASE: Lease = Lease { lasts: 3600.0, clock_error: 1.0 };
+const LEASE: LeaseTerms = LeaseTerms { duration: 3600.0, clock_error: 1.0 };
 const SEATS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("seats");
 
 fn held(n: u64) -> Change {
@@ -73,11 +73,11 @@
         text
     };
     let director = DirectorId(0);
-    write.write_all(&line(ToKeeper::Hello { director, nonce: 1 })).await.expect("written");
+    write.write_all(&line(KeeperRequest::Hello { director, nonce: 1 })).await.expect("written");
     lines.next_line().await.expect("readable").expect("welcome");
     let claim = |n: u64| {
         let (school, token) = (School("olaf".into()), TokenId(format!("token-{n:08}")));
-        line(ToKeeper::Claim { director, epoch: Epoch(1), school, token, expires: 4e9, n })
+        line(KeeperRequest::Claim { director, epoch: Epoch(1), school, token, expires: 4e9, n })
     };
     let began = Instant::now();
     let mut sent = out.min(grants);
@@ -125,7 +125,7 @@
     };
     let (long, ledger, mut log) = read(&path);
     let bytes = log.bytes();
-    log.rewrite(&ledger.standing_changes()).expect("written anew");
+    log.rewrite(&ledger.snapshot()).expect("written anew");
     let (short, _, log) = read(&path);
     (bytes, long, log.bytes(), short)
 }
--- a/crates/kelpdoor-keeper/src/serve.rs
+++ b/crates/kelpdoor-keeper/src/serve.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use kelpdoor_clock::{Clock, Steady};
-use kelpdoor_seats::{DirectorId, Lease, Ledger, School, ToKeeper};
+use kelpdoor_seats::{DirectorId, KeeperRequest, LeaseTerms, Ledger, School};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, JoinSet};
@@ -34,7 +34,7 @@
     pub listen: SocketAddr,
     /// Without one a restart forgets who holds what; leases then end what was held.
     pub ledger: Option<PathBuf>,
-    pub lease: Lease,
+    pub lease: LeaseTerms,
     pub schools: Vec<(School, u32)>,
     /// Where schools are agreed: what to go by instead.
     pub agreed: Option<Agreed>,
@@ -126,7 +126,7 @@
             );
         }
         changes.iter().for_each(|c| ledger.apply(c));
-        ledger.resumed(now);
+        ledger.resume(now);
         log = Some(of);
     }
     let listener = TcpListener::bind(options.listen).await?;
@@ -170,14 +170,14 @@
     sells: Option<String>,
 }
 
-fn director(word: &ToKeeper) -> DirectorId {
+fn director(word: &KeeperRequest) -> DirectorId {
     match word {
-        ToKeeper::Hello { director, .. }
-        | ToKeeper::Beat { director, .. }
-        | ToKeeper::Claim { director, .. }
-        | ToKeeper::Spent { director, .. }
-        | ToKeeper::Release { director, .. }
-        | ToKeeper::Lend { director, .. } => *director,
+        KeeperRequest::Hello { director, .. }
+        | KeeperRequest::Beat { director, .. }
+        | KeeperRequest::Claim { director, .. }
+        | KeeperRequest::Spent { director, .. }
+        | KeeperRequest::Release { director, .. }
+        | KeeperRequest::Lend { director, .. } => *director,
     }
 }
 
@@ -251,7 +251,7 @@
                     return false;
                 }
                 self.at.insert(from, conn);
-                for (to, word) in self.ledger.take(now, &word) {
+                for (to, word) in self.ledger.handle_request(now, &word) {
                     if let Some(conn) = self.at.get(&to) {
                         self.out.push((*conn, Tell::Word(word)));
                     }
@@ -269,10 +269,10 @@
 
     fn standing(&self, now: f64) -> Tell {
         let of = |school: &School| {
-            let s = self.ledger.standing(school);
+            let s = self.ledger.status(school);
             let expiring = self.ledger.expiring(school, now + EXPIRING);
             let school = school.0.clone();
-            SchoolStanding { school, bought: s.bought, held: s.held, lent: s.lent, free: s.free, expiring }
+            SchoolStanding { school, bought: s.bought, held: s.held, lent: s.leased, free: s.free, expiring }
         };
         Tell::Standing {
             directors: self.ledger.directors(),
@@ -307,20 +307,20 @@
         let mut all: Vec<_> = all.into_iter().collect();
         all.sort();
         for (school, seats) in all {
-            if self.ledger.standing(&school).bought != seats || !self.ledger.schools().any(|s| *s == school) {
-                self.ledger.buy(&school, seats);
+            if self.ledger.status(&school).bought != seats || !self.ledger.schools().any(|s| *s == school) {
+                self.ledger.set_seats(&school, seats);
             }
         }
     }
 
     /// What changed goes to disk, in one write with one sync.
     async fn keep(&mut self) -> Result<(), String> {
-        let changes = self.ledger.changes();
+        let changes = self.ledger.take_changes();
         if changes.is_empty() {
             return Ok(());
         }
         let Some(mut log) = self.log.take() else { return Ok(()) };
-        let whole = (log.bytes() > self.rewrite_at).then(|| self.ledger.standing_changes());
+        let whole = (log.bytes() > self.rewrite_at).then(|| self.ledger.snapshot());
         let kept = tokio::task::spawn_blocking(move || {
             // All that stands has these changes in it. A log that cannot be replaced is written on.
             let rewritten = whole.is_some_and(|whole| log.rewrite(&whole).is_ok());
--- a/crates/kelpdoor-keeper/src/wire.rs
+++ b/crates/kelpdoor-keeper/src/wire.rs
@@ -1,6 +1,6 @@
 //! What crosses the socket between directors, operators and the keeper: a JSON line for each message.
 
-use kelpdoor_seats::{FromKeeper, ToKeeper};
+use kelpdoor_seats::{KeeperRequest, KeeperResponse};
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a line to the keeper at most; names within it are bounded by the token's size.
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ask {
-    Word(ToKeeper),
+    Word(KeeperRequest),
     /// How all schools stand, for operators.
     Standing,
 }
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Tell {
-    Word(FromKeeper),
+    Word(KeeperResponse),
     Standing {
         directors: usize,
         schools: Vec<SchoolStanding>,
--- a/crates/kelpdoor-keeper/tests/kept.rs
+++ b/crates/kelpdoor-keeper/tests/kept.rs
@@ -6,14 +6,16 @@
 
 use kelpdoor_clock::Steady;
 use kelpdoor_keeper::{Agreed, Ask, KeeperOptions, Log, RunningKeeper, SchoolStanding, Sold, Tell, start};
-use kelpdoor_seats::{Change, DirectorId, Epoch, FromKeeper, Lease, Ledger, School, ToKeeper, TokenId};
+use kelpdoor_seats::{
+    Change, DirectorId, Epoch, KeeperRequest, KeeperResponse, LeaseTerms, Ledger, School, TokenId,
+};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-const LEASE: Lease = Lease { lasts: 60.0, clock_error: 1.0 };
+const LEASE: LeaseTerms = LeaseTerms { duration: 60.0, clock_error: 1.0 };
 
 fn school() -> School {
     School("olaf".into())
@@ -21,15 +23,18 @@
 
 fn some_changes() -> Vec<Vec<Change>> {
     let mut ledger = Ledger::new(LEASE);
-    ledger.buy(&school(), 2);
-    let mut all = vec![ledger.changes()];
+    ledger.set_seats(&school(), 2);
+    let mut all = vec![ledger.take_changes()];
     let director = DirectorId(0);
-    ledger.take(1.0, &ToKeeper::Hello { director, nonce: 5 });
-    all.push(ledger.changes());
+    ledger.handle_request(1.0, &KeeperRequest::Hello { director, nonce: 5 });
+    all.push(ledger.take_changes());
     for n in 1..4 {
         let (school, token) = (school(), TokenId(format!("t{n}")));
-        ledger.take(1.0, &ToKeeper::Claim { director, epoch: Epoch(1), school, token, expires: 9.0, n });
-        all.push(ledger.changes());
+        ledger.handle_request(
+            1.0,
+            &KeeperRequest::Claim { director, epoch: Epoch(1), school, token, expires: 9.0, n },
+        );
+        all.push(ledger.take_changes());
     }
     all.retain(|c| !c.is_empty());
     all
@@ -75,21 +80,24 @@
     let path = dir.path().join("ledger");
     let mut ledger = Ledger::new(LEASE);
     let mut log = Log::open(&path).expect("a new log").log;
-    ledger.buy(&school(), 50);
+    ledger.set_seats(&school(), 50);
     let director = DirectorId(0);
-    ledger.take(1.0, &ToKeeper::Hello { director, nonce: 5 });
+    ledger.handle_request(1.0, &KeeperRequest::Hello { director, nonce: 5 });
     for n in 0..400 {
         let (school, token, epoch) = (school(), TokenId(format!("t{}", n % 40)), Epoch(1));
-        ledger.take(1.0, &ToKeeper::Claim { director, epoch, school, token, expires: 9.0 + n as f64, n });
-        log.append(&ledger.changes()).expect("written");
+        ledger.handle_request(
+            1.0,
+            &KeeperRequest::Claim { director, epoch, school, token, expires: 9.0 + n as f64, n },
+        );
+        log.append(&ledger.take_changes()).expect("written");
     }
     let before = log.bytes();
-    log.rewrite(&ledger.standing_changes()).expect("written anew");
+    log.rewrite(&ledger.snapshot()).expect("written anew");
     log.append(&[]).expect("and on");
     assert!(log.bytes() * 4 < before, "{} of {before}", log.bytes());
     let mut again = Ledger::new(LEASE);
     Log::open(&path).expect("good").changes.iter().for_each(|c| again.apply(c));
-    assert_eq!(again.standing_changes(), ledger.standing_changes());
+    assert_eq!(again.snapshot(), ledger.snapshot());
 }
 
 struct Director {
@@ -118,7 +126,7 @@
         serde_json::from_str(&line).expect("an answer")
     }
 
-    async fn word(&mut self, word: ToKeeper) -> FromKeeper {
+    async fn word(&mut self, word: KeeperRequest) -> KeeperResponse {
         self.say(&Ask::Word(word)).await;
         match self.hear().await {
             Tell::Word(word) => word,
@@ -150,11 +158,11 @@
     start(options).await.expect("a keeper")
 }
 
-fn claim(token: &str, n: u64) -> ToKeeper {
+fn claim(token: &str, n: u64) -> KeeperRequest {
     let expires = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
     let expires = expires.as_secs_f64() + 100.0;
     let token = TokenId(token.into());
-    ToKeeper::Claim { director: DirectorId(4), epoch: Epoch(1), school: school(), token, expires, n }
+    KeeperRequest::Claim { director: DirectorId(4), epoch: Epoch(1), school: school(), token, expires, n }
 }
 
 #[tokio::test]
@@ -163,8 +171,8 @@
     let path = dir.path().join("ledger");
     let mut first = keeper(&path, 1).await;
     let mut d = Director::connect(&first).await;
-    let hello = ToKeeper::Hello { director: DirectorId(4), nonce: 9 };
-    assert_eq!(d.word(hello.clone()).await, FromKeeper::Welcome { nonce: 9, epoch: Epoch(1) });
+    let hello = KeeperRequest::Hello { director: DirectorId(4), nonce: 9 };
+    assert_eq!(d.word(hello.clone()).await, KeeperResponse::Welcome { nonce: 9, epoch: Epoch(1) });
     let before = std::fs::metadata(&path).expect("a ledger").len();
     d.say(&Ask::Word(claim("a", 1))).await;
     // As soon as the claim is on disk the keeper is gone, whether or not its answer went out.
@@ -179,9 +187,9 @@
     let second = keeper(&path, 1).await;
     let mut d = Director::connect(&second).await;
     // The same start of the director keeps its epoch, the same claim its seat, and no other gets one.
-    assert_eq!(d.word(hello).await, FromKeeper::Welcome { nonce: 9, epoch: Epoch(1) });
-    assert!(matches!(d.word(claim("a", 1)).await, FromKeeper::Granted { .. }));
-    assert!(matches!(d.word(claim("b", 2)).await, FromKeeper::Full { .. }));
+    assert_eq!(d.word(hello).await, KeeperResponse::Welcome { nonce: 9, epoch: Epoch(1) });
+    assert!(matches!(d.word(claim("a", 1)).await, KeeperResponse::Granted { .. }));
+    assert!(matches!(d.word(claim("b", 2)).await, KeeperResponse::Full { .. }));
     let s = d.standing().await;
     assert_eq!((s.bought, s.held, s.free), (1, 1, 0));
 }
@@ -191,7 +199,7 @@
     let dir = tempfile::tempdir().expect("a folder");
     let keeper = keeper(&dir.path().join("ledger"), 2).await;
     let mut good = Director::connect(&keeper).await;
-    good.word(ToKeeper::Hello { director: DirectorId(4), nonce: 9 }).await;
+    good.word(KeeperRequest::Hello { director: DirectorId(4), nonce: 9 }).await;
     for bad in ["what?\n".to_owned(), "x".repeat(5000)] {
         let mut other = Director::connect(&keeper).await;
         other.write.write_all(bad.as_bytes()).await.expect("written");
@@ -199,13 +207,13 @@
         assert!(within(other.lines.next_line()).await.is_ok_and(|l| l.is_none()));
     }
     for (n, token) in ["a", "b"].into_iter().enumerate() {
-        assert!(matches!(good.word(claim(token, n as u64 + 1)).await, FromKeeper::Granted { .. }));
+        assert!(matches!(good.word(claim(token, n as u64 + 1)).await, KeeperResponse::Granted { .. }));
     }
     keeper.buy(vec![(school(), 1), (School("ida".into()), 3)]).await;
     let s = good.standing().await;
     assert_eq!(s.school, "ida");
-    assert!(matches!(good.word(claim("c", 3)).await, FromKeeper::Full { .. }));
-    assert!(matches!(good.word(claim("a", 4)).await, FromKeeper::Granted { .. }));
+    assert!(matches!(good.word(claim("c", 3)).await, KeeperResponse::Full { .. }));
+    assert!(matches!(good.word(claim("a", 4)).await, KeeperResponse::Granted { .. }));
 }
 
 #[tokio::test]
@@ -216,7 +224,7 @@
     let agreed = Some(Agreed { sold, steady });
     let keeper = keeper_by(&dir.path().join("ledger"), Vec::new(), agreed).await;
     let mut d = Director::connect(&keeper).await;
-    d.word(ToKeeper::Hello { director: DirectorId(4), nonce: 9 }).await;
+    d.word(KeeperRequest::Hello { director: DirectorId(4), nonce: 9 }).await;
     let now = steady.now();
     // Nothing known; not begun; under a lease; over, as after a pause; and under one again, by a newer version.
     let leases = [
@@ -234,12 +242,12 @@
         for token in ["a", "b"] {
             let granted = matches!(
                 d.word(claim(&format!("{token}{k}"), said.len() as u64 + 1)).await,
-                FromKeeper::Granted { .. }
+                KeeperResponse::Granted { .. }
             );
             said += if granted { "granted " } else { "full " };
         }
     }
     // What was held all along stays.
-    assert!(matches!(d.word(claim("a2", 999)).await, FromKeeper::Granted { .. }));
+    assert!(matches!(d.word(claim("a2", 999)).await, KeeperResponse::Granted { .. }));
     expect_test::expect!["full full full full granted granted full full granted full "].assert_eq(&said);
 }
--- a/crates/kelpdoor-lab/tests/seats.rs
+++ b/crates/kelpdoor-lab/tests/seats.rs
@@ -14,7 +14,7 @@
 use kelpdoor_lab::tickets::{self, Issuing};
 use kelpdoor_lab::trouble::Size;
 use kelpdoor_script::Deployment;
-use kelpdoor_seats::{Lease, School};
+use kelpdoor_seats::{LeaseTerms, School};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout};
 
@@ -42,7 +42,7 @@
         let options = || KeeperOptions {
             listen,
             ledger: Some(self.dir.path().join("ledger")),
-            lease: Lease { lasts: 14.0, clock_error: 0.5 },
+            lease: LeaseTerms { duration: 14.0, clock_error: 0.5 },
             schools: vec![(School(tickets::school(0)), seats)],
             agreed: None,
         };
--- a/crates/kelpdoor-seats/src/holder.rs
+++ b/crates/kelpdoor-seats/src/holder.rs
@@ -1,6 +1,6 @@
 //! A director's side.
 //!
-//! A request with a token waits for the keeper no longer than [`Patience::claim`]; then a seat lent ahead is used, and
+//! A request with a token waits for the keeper no longer than [`HolderTimeouts::claim`]; then a seat lent ahead is used, and
 //! without one the request is refused in time. What is held is held by the keeper's word or by a loan, both until the
 //! director's lease runs out: counted from when the last beat that was heard was *sent*, so it ends here before it
 //! ends at the keeper. One word is out for each token, and one for a school's loan, sent again as it was after a
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{DirectorId, Epoch, FromKeeper, Lease, School, ToKeeper, TokenId};
+use crate::{DirectorId, Epoch, KeeperRequest, KeeperResponse, LeaseTerms, School, TokenId};
 
 /// Of the time that a request has left; it waits so long for its seat at most, so that a SETUP still fits.
 const SEAT_PART: f64 = 0.5;
@@ -17,26 +17,26 @@
 
 /// Waits of a director, s.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct HolderTimeouts {
     /// A request waits for the keeper so long before a loan is used.
-    pub claim: f64,
-    pub beat_every: f64,
+    pub claim_timeout: f64,
+    pub heartbeat_interval: f64,
     /// Before a word without an answer is sent again, at first and at most.
     pub resend: (f64, f64),
     /// Seats to have lent ahead for each school that is asked for.
-    pub ahead: u32,
+    pub seats_ahead: u32,
 }
 
-impl Patience {
+impl HolderTimeouts {
     /// From what operators set: s, s, and seats.
-    pub fn new(claim: f64, beat_every: f64, ahead: u32) -> Self {
-        let resend = (claim.min(beat_every) * RESEND.0, beat_every * RESEND.1);
-        Patience { claim, beat_every, resend, ahead }
+    pub fn new(claim_timeout: f64, heartbeat_interval: f64, seats_ahead: u32) -> Self {
+        let resend = (claim_timeout.min(heartbeat_interval) * RESEND.0, heartbeat_interval * RESEND.1);
+        HolderTimeouts { claim_timeout, heartbeat_interval, resend, seats_ahead }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RefusedWhy {
+pub enum RefusalReason {
     /// All taken; come back after so long.
     Full {
         come_back: f64,
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndedWhy {
+pub enum EndReason {
     Expired,
     /// The viewer came again at another director.
     Moved,
@@ -57,8 +57,8 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    Send(ToKeeper),
+pub enum Output {
+    Send(KeeperRequest),
     Granted {
         school: School,
         token: TokenId,
@@ -66,13 +66,13 @@
     Refused {
         school: School,
         token: TokenId,
-        why: RefusedWhy,
+        why: RefusalReason,
     },
     /// A seat that was granted is no more.
     Ended {
         school: School,
         token: TokenId,
-        why: EndedWhy,
+        why: EndReason,
     },
 }
 
@@ -120,8 +120,8 @@
 pub struct Holder {
     director: DirectorId,
     nonce: u64,
-    lease: Lease,
-    patience: Patience,
+    lease: LeaseTerms,
+    patience: HolderTimeouts,
     epoch: Option<Epoch>,
     n: u64,
     schools: BTreeMap<School, Mine>,
@@ -140,7 +140,7 @@
 
 impl Holder {
     /// `nonce` has to be another at each start of the director.
-    pub fn new(director: DirectorId, nonce: u64, lease: Lease, patience: Patience) -> Self {
+    pub fn new(director: DirectorId, nonce: u64, lease: LeaseTerms, patience: HolderTimeouts) -> Self {
         Holder {
             director,
             nonce,
@@ -169,7 +169,7 @@
     }
 
     /// Seats lent ahead that may still be given out.
-    pub fn lent(&self, now: f64, school: &School) -> u32 {
+    pub fn leased(&self, now: f64, school: &School) -> u32 {
         let good = self.epoch.is_some() && now < self.lease_until;
         self.schools.get(school).filter(|m| good && now < m.lent_until).map_or(0, |m| m.lent)
     }
@@ -194,15 +194,17 @@
 
     /// A request or session asks for its token's seat, or for a longer one after a renewal. A request that has `left`
     /// seconds waits for the keeper a part of them at most.
-    pub fn ask(&mut self, now: f64, school: &School, token: &TokenId, expires: f64, left: f64) -> Vec<Out> {
+    pub fn request_seat(
+        &mut self, now: f64, school: &School, token: &TokenId, expires: f64, left: f64,
+    ) -> Vec<Output> {
         let mut out = Vec::new();
         let (school, token) = (school.clone(), token.clone());
         if now >= expires {
-            let why = RefusedWhy::Expired;
-            return vec![Out::Refused { school, token, why }];
+            let why = RefusalReason::Expired;
+            return vec![Output::Refused { school, token, why }];
         }
         let pending = self.pend(now);
-        let until = now + self.patience.claim.min(left * SEAT_PART);
+        let until = now + self.patience.claim_timeout.min(left * SEAT_PART);
         self.due = self.due.min(until).min(expires);
         let epoch = self.epoch;
         let mine = self.schools.entry(school.clone()).or_default();
@@ -215,7 +217,7 @@
                 let spent = held.spent;
                 out.extend(self.word(&school, &token, expires, pending.n, spent));
             }
-            out.push(Out::Granted { school, token });
+            out.push(Output::Granted { school, token });
             return out;
         }
         if let Some(wait) = mine.waiting.get_mut(&token) {
@@ -234,18 +236,18 @@
         out
     }
 
-    fn word(&self, school: &School, token: &TokenId, expires: f64, n: u64, spent: bool) -> Option<Out> {
+    fn word(&self, school: &School, token: &TokenId, expires: f64, n: u64, spent: bool) -> Option<Output> {
         let (director, epoch) = (self.director, self.epoch.filter(|_| self.begun)?);
         let (school, token) = (school.clone(), token.clone());
-        Some(Out::Send(if spent {
-            ToKeeper::Spent { director, epoch, school, token, expires, n }
+        Some(Output::Send(if spent {
+            KeeperRequest::Spent { director, epoch, school, token, expires, n }
         } else {
-            ToKeeper::Claim { director, epoch, school, token, expires, n }
+            KeeperRequest::Claim { director, epoch, school, token, expires, n }
         }))
     }
 
     /// The session is over, or its request was not served: the seat goes back.
-    pub fn release(&mut self, now: f64, school: &School, token: &TokenId) -> Vec<Out> {
+    pub fn release(&mut self, now: f64, school: &School, token: &TokenId) -> Vec<Output> {
         let pending = self.pend(now);
         let (director, epoch) = (self.director, self.epoch);
         let Some(mine) = self.schools.get_mut(school) else { return Vec::new() };
@@ -253,25 +255,25 @@
         let Some(epoch) = epoch.filter(|_| had) else { return Vec::new() };
         mine.releasing.insert(token.clone(), pending);
         let (school, token) = (school.clone(), token.clone());
-        vec![Out::Send(ToKeeper::Release { director, epoch, school, token, n: pending.n })]
+        vec![Output::Send(KeeperRequest::Release { director, epoch, school, token, n: pending.n })]
     }
 
     /// A word of the keeper's.
-    pub fn heard(&mut self, now: f64, word: &FromKeeper) -> Vec<Out> {
+    pub fn handle_response(&mut self, now: f64, word: &KeeperResponse) -> Vec<Output> {
         let mut out = Vec::new();
         match word {
-            FromKeeper::Welcome { nonce, epoch } if *nonce == self.nonce && self.epoch.is_none() => {
+            KeeperResponse::Welcome { nonce, epoch } if *nonce == self.nonce && self.epoch.is_none() => {
                 self.epoch = Some(*epoch);
                 self.hello = None;
                 self.lease_until = now;
                 self.next_beat = now;
                 self.due = now;
             }
-            FromKeeper::Fenced { epoch } if Some(*epoch) == self.epoch => out.extend(self.lapse(now)),
-            FromKeeper::Alive { epoch, n } if Some(*epoch) == self.epoch => {
+            KeeperResponse::Fenced { epoch } if Some(*epoch) == self.epoch => out.extend(self.lapse(now)),
+            KeeperResponse::Alive { epoch, n } if Some(*epoch) == self.epoch => {
                 if let Some((_, sent)) = self.beat.filter(|(out, _)| out == n) {
                     self.beat = None;
-                    self.lease_until = self.lease_until.max(sent + self.lease.lasts);
+                    self.lease_until = self.lease_until.max(sent + self.lease.duration);
                     if !std::mem::replace(&mut self.begun, true) {
                         let waits = self.schools.values_mut().flat_map(|m| m.waiting.values_mut());
                         waits.for_each(|w| w.pending.again = now);
@@ -279,27 +281,27 @@
                     }
                 }
             }
-            FromKeeper::Granted { epoch, school, token, n } if Some(*epoch) == self.epoch => {
+            KeeperResponse::Granted { epoch, school, token, n } if Some(*epoch) == self.epoch => {
                 out.extend(self.granted(now, school, token, *n));
             }
-            FromKeeper::Full { epoch, school, token, n, come_back } if Some(*epoch) == self.epoch => {
-                let why = RefusedWhy::Full { come_back: *come_back };
-                out.extend(self.refused(school, token, *n, why, EndedWhy::Lapsed));
+            KeeperResponse::Full { epoch, school, token, n, come_back } if Some(*epoch) == self.epoch => {
+                let why = RefusalReason::Full { come_back: *come_back };
+                out.extend(self.refused(school, token, *n, why, EndReason::Lapsed));
             }
-            FromKeeper::Expired { epoch, school, token, n } if Some(*epoch) == self.epoch => {
-                out.extend(self.refused(school, token, *n, RefusedWhy::Expired, EndedWhy::Expired));
+            KeeperResponse::Expired { epoch, school, token, n } if Some(*epoch) == self.epoch => {
+                out.extend(self.refused(school, token, *n, RefusalReason::Expired, EndReason::Expired));
             }
-            FromKeeper::Moved { epoch, school, token, n } if Some(*epoch) == self.epoch => {
+            KeeperResponse::Moved { epoch, school, token, n } if Some(*epoch) == self.epoch => {
                 out.extend(self.moved(now, school, token, *n));
             }
-            FromKeeper::Freed { epoch, school, token, n } if Some(*epoch) == self.epoch => {
+            KeeperResponse::Freed { epoch, school, token, n } if Some(*epoch) == self.epoch => {
                 if let Some(mine) = self.schools.get_mut(school)
                     && mine.releasing.get(token).is_some_and(|p| p.n <= *n)
                 {
                     mine.releasing.remove(token);
                 }
             }
-            FromKeeper::Lent { epoch, school, count, until, n } if Some(*epoch) == self.epoch => {
+            KeeperResponse::Lent { epoch, school, count, until, n } if Some(*epoch) == self.epoch => {
                 if let Some(mine) = self.schools.get_mut(school)
                     && mine.lending.is_some_and(|p| p.n <= *n)
                 {
@@ -320,7 +322,7 @@
 
     /// The seat went elsewhere; unless it was claimed here anew since, it is held here no more. Said so until the
     /// keeper hears that it is.
-    fn moved(&mut self, now: f64, school: &School, token: &TokenId, n: u64) -> Vec<Out> {
+    fn moved(&mut self, now: f64, school: &School, token: &TokenId, n: u64) -> Vec<Output> {
         let pending = self.pend(now);
         let (director, Some(epoch)) = (self.director, self.epoch) else { return Vec::new() };
         let mine = self.schools.entry(school.clone()).or_default();
@@ -332,13 +334,13 @@
         mine.releasing.insert(token.clone(), pending);
         if mine.held.remove(&token).is_some() {
             let (school, token) = (school.clone(), token.clone());
-            out.push(Out::Ended { school, token, why: EndedWhy::Moved });
+            out.push(Output::Ended { school, token, why: EndReason::Moved });
         }
-        out.push(Out::Send(ToKeeper::Release { director, epoch, school, token, n: pending.n }));
+        out.push(Output::Send(KeeperRequest::Release { director, epoch, school, token, n: pending.n }));
         out
     }
 
-    fn granted(&mut self, now: f64, school: &School, token: &TokenId, n: u64) -> Vec<Out> {
+    fn granted(&mut self, now: f64, school: &School, token: &TokenId, n: u64) -> Vec<Output> {
         let mine = self.schools.entry(school.clone()).or_default();
         if let Some(wait) = mine.waiting.get(token).cloned() {
             // An answer to an older claim, given up since, holds nothing at the keeper.
@@ -348,7 +350,7 @@
             mine.waiting.remove(token);
             let held = Held { expires: wait.expires, n: wait.pending.n, pending: None, spent: false };
             mine.held.insert(token.clone(), held);
-            return vec![Out::Granted { school: school.clone(), token: token.clone() }];
+            return vec![Output::Granted { school: school.clone(), token: token.clone() }];
         }
         if let Some(held) = mine.held.get_mut(token) {
             if held.pending.is_some_and(|p| p.n == n) {
@@ -367,34 +369,34 @@
             mine.releasing.insert(token.clone(), pending);
         }
         let (school, token) = (school.clone(), token.clone());
-        vec![Out::Send(ToKeeper::Release { director, epoch, school, token, n: pending.n })]
+        vec![Output::Send(KeeperRequest::Release { director, epoch, school, token, n: pending.n })]
     }
 
     fn refused(
-        &mut self, school: &School, token: &TokenId, n: u64, why: RefusedWhy, ended: EndedWhy,
-    ) -> Vec<Out> {
+        &mut self, school: &School, token: &TokenId, n: u64, why: RefusalReason, ended: EndReason,
+    ) -> Vec<Output> {
         let Some(mine) = self.schools.get_mut(school) else { return Vec::new() };
         let (school, named) = (school.clone(), token.clone());
         if let Some(wait) = mine.waiting.get_mut(token).filter(|w| w.pending.n == n) {
-            if mine.lent > 0 && matches!(why, RefusedWhy::Full { .. }) {
+            if mine.lent > 0 && matches!(why, RefusalReason::Full { .. }) {
                 // Full but for what was lent to us: the wait is over now, and the loan is used.
                 wait.until = f64::NEG_INFINITY;
                 self.due = f64::NEG_INFINITY;
                 return Vec::new();
             }
             mine.waiting.remove(token);
-            return vec![Out::Refused { school, token: named, why }];
+            return vec![Output::Refused { school, token: named, why }];
         }
         // A seat given out of a loan that the keeper no longer knows of, or a renewal that came too late.
         if mine.held.get(token).is_some_and(|h| h.pending.is_some_and(|p| p.n == n)) {
             mine.held.remove(token);
-            return vec![Out::Ended { school, token: named, why: ended }];
+            return vec![Output::Ended { school, token: named, why: ended }];
         }
         Vec::new()
     }
 
     /// The epoch is over: all that was held by it ends, what waits says hello anew.
-    fn lapse(&mut self, now: f64) -> Vec<Out> {
+    fn lapse(&mut self, now: f64) -> Vec<Output> {
         let mut out = Vec::new();
         self.epoch = None;
         self.begun = false;
@@ -405,7 +407,7 @@
         self.nonce = self.nonce.wrapping_add(1 << 32);
         for (school, mine) in &mut self.schools {
             for token in std::mem::take(&mut mine.held).into_keys() {
-                out.push(Out::Ended { school: school.clone(), token, why: EndedWhy::Lapsed });
+                out.push(Output::Ended { school: school.clone(), token, why: EndReason::Lapsed });
             }
             mine.releasing.clear();
             mine.lent = 0;
@@ -416,7 +418,7 @@
     }
 
     /// When [`tick`](Self::tick) has something to do.
-    pub fn next(&self) -> f64 {
+    pub fn next_timer_at(&self) -> f64 {
         self.due
     }
 
@@ -439,7 +441,7 @@
     }
 
     /// What time brings: waits that are over, leases, expiries, words sent again.
-    pub fn tick(&mut self, now: f64) -> Vec<Out> {
+    pub fn tick(&mut self, now: f64) -> Vec<Output> {
         if now < self.due {
             return Vec::new();
         }
@@ -448,7 +450,7 @@
         out
     }
 
-    fn all(&mut self, now: f64) -> Vec<Out> {
+    fn all(&mut self, now: f64) -> Vec<Output> {
         let mut out = Vec::new();
         let director = self.director;
         if self.epoch.is_some() && now >= self.ends() {
@@ -461,7 +463,7 @@
                     None => self.pend(now),
                 };
                 self.hello = Some(p);
-                out.push(Out::Send(ToKeeper::Hello { director, nonce: self.nonce }));
+                out.push(Output::Send(KeeperRequest::Hello { director, nonce: self.nonce }));
             }
             self.over(now, &mut out);
             return out;
@@ -470,8 +472,8 @@
             self.n += 1;
             // An unanswered beat is forgotten: a later answer to it would count from an older time.
             self.beat = Some((self.n, now));
-            self.next_beat = now + self.patience.beat_every * self.spread();
-            out.push(Out::Send(ToKeeper::Beat { director, epoch, n: self.n }));
+            self.next_beat = now + self.patience.heartbeat_interval * self.spread();
+            out.push(Output::Send(KeeperRequest::Beat { director, epoch, n: self.n }));
         }
         self.over(now, &mut out);
         self.again(now, epoch, &mut out);
@@ -480,11 +482,11 @@
 
     /// When the epoch is over for want of an answer; one that holds nothing has as long again.
     fn ends(&self) -> f64 {
-        self.lease_until + if self.held() == 0 { self.lease.lasts } else { 0.0 }
+        self.lease_until + if self.held() == 0 { self.lease.duration } else { 0.0 }
     }
 
     /// Waits and tokens that are over.
-    fn over(&mut self, now: f64, out: &mut Vec<Out>) {
+    fn over(&mut self, now: f64, out: &mut Vec<Output>) {
         let lease = self.epoch.is_some() && now <= self.lease_until;
         let (mut spends, mut back) = (Vec::new(), Vec::new());
         for (school, mine) in &mut self.schools {
@@ -500,10 +502,10 @@
                     }
                     spends.push((school.clone(), token, wait.expires));
                 } else {
-                    let why = RefusedWhy::NoKeeper;
+                    let why = RefusalReason::NoKeeper;
                     // The claim may have been heard: what it took goes back.
                     back.push((school.clone(), token.clone()));
-                    out.push(Out::Refused { school: school.clone(), token, why });
+                    out.push(Output::Refused { school: school.clone(), token, why });
                 }
             }
             let ended: Vec<TokenId> =
@@ -511,32 +513,32 @@
             for token in ended {
                 mine.held.remove(&token);
                 back.push((school.clone(), token.clone()));
-                out.push(Out::Ended { school: school.clone(), token, why: EndedWhy::Expired });
+                out.push(Output::Ended { school: school.clone(), token, why: EndReason::Expired });
             }
         }
         for (school, token) in back {
             let (director, pending) = (self.director, self.pend(now));
             let (Some(epoch), Some(mine)) = (self.epoch, self.schools.get_mut(&school)) else { continue };
             mine.releasing.insert(token.clone(), pending);
-            out.push(Out::Send(ToKeeper::Release { director, epoch, school, token, n: pending.n }));
+            out.push(Output::Send(KeeperRequest::Release { director, epoch, school, token, n: pending.n }));
         }
         for (school, token, expires) in spends {
             let pending = self.pend(now);
             let held = Held { expires, n: pending.n, pending: Some(pending), spent: true };
             self.schools.entry(school.clone()).or_default().held.insert(token.clone(), held);
             out.extend(self.word(&school, &token, expires, pending.n, true));
-            out.push(Out::Granted { school, token });
+            out.push(Output::Granted { school, token });
         }
     }
 
     /// Words without an answer are sent again, each as it was; loans are asked for and renewed.
-    fn again(&mut self, now: f64, epoch: Epoch, out: &mut Vec<Out>) {
+    fn again(&mut self, now: f64, epoch: Epoch, out: &mut Vec<Output>) {
         let director = self.director;
         let schools: Vec<School> = self.schools.keys().cloned().collect();
         for school in schools {
             let Some(mut mine) = self.schools.remove(&school) else { continue };
             let idle = mine.held.is_empty() && mine.waiting.is_empty() && mine.releasing.is_empty();
-            if idle && now > mine.used_at + self.lease.lasts {
+            if idle && now > mine.used_at + self.lease.duration {
                 // Forgotten; what was lent runs out by itself.
                 continue;
             }
@@ -553,10 +555,11 @@
             for (token, p) in mine.releasing.iter_mut().filter(|(_, p)| now >= p.again) {
                 *p = self.later(now, *p);
                 let (school, token) = (school.clone(), token.clone());
-                out.push(Out::Send(ToKeeper::Release { director, epoch, school, token, n: p.n }));
+                out.push(Output::Send(KeeperRequest::Release { director, epoch, school, token, n: p.n }));
             }
-            let want = self.patience.ahead;
-            let lend = |n| Out::Send(ToKeeper::Lend { director, epoch, school: school.clone(), want, n });
+            let want = self.patience.seats_ahead;
+            let lend =
+                |n| Output::Send(KeeperRequest::Lend { director, epoch, school: school.clone(), want, n });
             match mine.lending {
                 Some(p) if now >= p.again => {
                     out.push(lend(p.n));
@@ -566,10 +569,10 @@
                 None => {
                     // Not while a spent one is unconfirmed: the two counts would cross.
                     let settled = mine.held.values().all(|h| !h.spent);
-                    let due = mine.lent < self.patience.ahead
-                        && now >= mine.lend_at + self.patience.beat_every
-                        || now >= mine.lent_until - self.lease.lasts / 2.0;
-                    if settled && due && self.patience.ahead > 0 {
+                    let due = mine.lent < self.patience.seats_ahead
+                        && now >= mine.lend_at + self.patience.heartbeat_interval
+                        || now >= mine.lent_until - self.lease.duration / 2.0;
+                    if settled && due && self.patience.seats_ahead > 0 {
                         let p = self.pend(now);
                         out.push(lend(p.n));
                         mine.lending = Some(p);
--- a/crates/kelpdoor-seats/src/ledger.rs
+++ b/crates/kelpdoor-seats/src/ledger.rs
@@ -11,13 +11,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{DirectorId, Epoch, FromKeeper, School, ToKeeper, TokenId};
+use crate::{DirectorId, Epoch, KeeperRequest, KeeperResponse, School, TokenId};
 
 /// How long what a director holds outlives its last word.
 #[derive(Clone, Copy, Debug)]
-pub struct Lease {
+pub struct LeaseTerms {
     /// s; also how long seats are lent.
-    pub lasts: f64,
+    pub duration: f64,
     /// s; clocks of directors and keeper may differ by so much, so a seat is freed that much later.
     pub clock_error: f64,
 }
@@ -115,10 +115,10 @@
 
 /// A school's seats at the moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct SchoolStatus {
     pub bought: u32,
     pub held: u32,
-    pub lent: u32,
+    pub leased: u32,
     /// Given back where they moved to, not yet where they moved from.
     pub moving: u32,
     pub free: u32,
@@ -142,7 +142,7 @@
 
 /// See the module.
 pub struct Ledger {
-    lease: Lease,
+    lease: LeaseTerms,
     pools: BTreeMap<School, Pool>,
     epochs: BTreeMap<Epoch, Known>,
     current: BTreeMap<DirectorId, Epoch>,
@@ -154,7 +154,7 @@
 }
 
 impl Ledger {
-    pub fn new(lease: Lease) -> Self {
+    pub fn new(lease: LeaseTerms) -> Self {
         Ledger {
             lease,
             pools: BTreeMap::new(),
@@ -168,19 +168,19 @@
     }
 
     /// What changed since the last call, to be kept before the answers go out.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
     /// Sets how many seats a school has; fewer than held takes none away, but gives none out either.
-    pub fn buy(&mut self, school: &School, seats: u32) {
+    pub fn set_seats(&mut self, school: &School, seats: u32) {
         self.change(Change::Bought { school: school.clone(), seats });
     }
 
-    pub fn standing(&self, school: &School) -> Standing {
-        let Some(pool) = self.pools.get(school) else { return Standing::default() };
-        let (held, lent, moving) = (pool.seats.len() as u32, pool.lent(), pool.moving());
-        Standing { bought: pool.bought, held, lent, moving, free: pool.free() }
+    pub fn status(&self, school: &School) -> SchoolStatus {
+        let Some(pool) = self.pools.get(school) else { return SchoolStatus::default() };
+        let (held, leased, moving) = (pool.seats.len() as u32, pool.lent(), pool.moving());
+        SchoolStatus { bought: pool.bought, held, leased, moving, free: pool.free() }
     }
 
     pub fn schools(&self) -> impl Iterator<Item = &School> {
@@ -268,7 +268,7 @@
     }
 
     /// All that stands, as changes: what a new log begins with.
-    pub fn standing_changes(&self) -> Vec<Change> {
+    pub fn snapshot(&self) -> Vec<Change> {
         let mut all = vec![Change::Lapsed { epoch: self.last }];
         for (epoch, k) in &self.epochs {
             let (director, nonce, at) = (k.director, k.nonce, k.heard);
@@ -304,7 +304,7 @@
     }
 
     /// After a restart from kept changes: nobody could be heard meanwhile, so every lease runs anew from now.
-    pub fn resumed(&mut self, now: f64) {
+    pub fn resume(&mut self, now: f64) {
         self.began = now;
         self.epochs.values_mut().for_each(|k| k.heard = k.heard.max(now));
     }
@@ -312,11 +312,11 @@
     /// Frees what has run out: seats of expired tokens, loans past their time, all of directors not heard.
     pub fn expire(&mut self, now: f64) {
         self.swept_at = now;
-        let Lease { lasts, clock_error } = self.lease;
+        let LeaseTerms { duration, clock_error } = self.lease;
         let lapsed: Vec<Epoch> = self
             .epochs
             .iter()
-            .filter(|(_, k)| now > k.heard + lasts + clock_error)
+            .filter(|(_, k)| now > k.heard + duration + clock_error)
             .map(|(epoch, _)| *epoch)
             .collect();
         lapsed.into_iter().for_each(|epoch| self.change(Change::Lapsed { epoch }));
@@ -327,7 +327,7 @@
             // One that has started anew renewed nothing since: its seats end with their tokens.
             let over = |s: &Seat| {
                 let stands = self.current.get(&s.director) == Some(&s.epoch);
-                let from = if stands { s.expires.max(self.began) + lasts } else { s.expires };
+                let from = if stands { s.expires.max(self.began) + duration } else { s.expires };
                 now > from + clock_error
             };
             for (token, _) in pool.seats.iter().filter(|(_, s)| over(s)) {
@@ -355,49 +355,49 @@
     }
 
     /// Takes a word in; answers go to the directors named.
-    pub fn take(&mut self, now: f64, word: &ToKeeper) -> Vec<(DirectorId, FromKeeper)> {
+    pub fn handle_request(&mut self, now: f64, word: &KeeperRequest) -> Vec<(DirectorId, KeeperResponse)> {
         self.sweep(now);
         let (director, epoch) = match word {
-            ToKeeper::Hello { director, nonce } => {
+            KeeperRequest::Hello { director, nonce } => {
                 return self.hello(now, *director, *nonce).map(|w| (*director, w)).into_iter().collect();
             }
-            ToKeeper::Beat { director, epoch, .. }
-            | ToKeeper::Claim { director, epoch, .. }
-            | ToKeeper::Spent { director, epoch, .. }
-            | ToKeeper::Release { director, epoch, .. }
-            | ToKeeper::Lend { director, epoch, .. } => (*director, *epoch),
+            KeeperRequest::Beat { director, epoch, .. }
+            | KeeperRequest::Claim { director, epoch, .. }
+            | KeeperRequest::Spent { director, epoch, .. }
+            | KeeperRequest::Release { director, epoch, .. }
+            | KeeperRequest::Lend { director, epoch, .. } => (*director, *epoch),
         };
         if self.current.get(&director) != Some(&epoch) {
-            return vec![(director, FromKeeper::Fenced { epoch })];
+            return vec![(director, KeeperResponse::Fenced { epoch })];
         }
         if let Some(known) = self.epochs.get_mut(&epoch) {
             known.heard = known.heard.max(now);
         }
         match word {
-            ToKeeper::Hello { .. } => Vec::new(),
-            ToKeeper::Beat { n, .. } => {
-                let mut out = vec![(director, FromKeeper::Alive { epoch, n: *n })];
+            KeeperRequest::Hello { .. } => Vec::new(),
+            KeeperRequest::Beat { n, .. } => {
+                let mut out = vec![(director, KeeperResponse::Alive { epoch, n: *n })];
                 for (school, pool) in &self.pools {
                     let of = pool.moved.iter().filter(|m| m.0 == epoch).take(MOVED_AGAIN);
                     out.extend(of.map(|(_, token, n)| {
                         let (school, token, n) = (school.clone(), token.clone(), *n);
-                        (director, FromKeeper::Moved { epoch, school, token, n })
+                        (director, KeeperResponse::Moved { epoch, school, token, n })
                     }));
                 }
                 out
             }
-            ToKeeper::Claim { school, token, expires, n, .. } => {
+            KeeperRequest::Claim { school, token, expires, n, .. } => {
                 self.claim(now, (director, epoch), school, token, *expires, *n, false)
             }
-            ToKeeper::Spent { school, token, expires, n, .. } => {
+            KeeperRequest::Spent { school, token, expires, n, .. } => {
                 self.claim(now, (director, epoch), school, token, *expires, *n, true)
             }
-            ToKeeper::Release { school, token, n, .. } => {
+            KeeperRequest::Release { school, token, n, .. } => {
                 self.release(now, epoch, school, token, *n);
                 let (school, token, n) = (school.clone(), token.clone(), *n);
-                vec![(director, FromKeeper::Freed { epoch, school, token, n })]
+                vec![(director, KeeperResponse::Freed { epoch, school, token, n })]
             }
-            ToKeeper::Lend { school, want, n, .. } => {
+            KeeperRequest::Lend { school, want, n, .. } => {
                 vec![(director, self.lend(now, epoch, school, *want, *n))]
             }
         }
@@ -405,7 +405,7 @@
 
     /// A new epoch for a new start. The old one's loans and seats stay until its lease lapses or the viewers come
     /// again: the old process may live on somewhere, cut off from us.
-    fn hello(&mut self, now: f64, director: DirectorId, nonce: u64) -> Option<FromKeeper> {
+    fn hello(&mut self, now: f64, director: DirectorId, nonce: u64) -> Option<KeeperResponse> {
         let same =
             self.current.get(&director).filter(|e| self.epochs.get(e).is_some_and(|k| k.nonce == nonce));
         let epoch = match same {
@@ -424,25 +424,25 @@
                 epoch
             }
         };
-        Some(FromKeeper::Welcome { nonce, epoch })
+        Some(KeeperResponse::Welcome { nonce, epoch })
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one word")]
     fn claim(
         &mut self, now: f64, (director, epoch): (DirectorId, Epoch), school: &School, token: &TokenId,
         expires: f64, n: u64, spent: bool,
-    ) -> Vec<(DirectorId, FromKeeper)> {
+    ) -> Vec<(DirectorId, KeeperResponse)> {
         let (school, token) = (school.clone(), token.clone());
         let Some(pool) = self.pools.get(&school) else {
             // No such school: nothing is kept of it.
-            let come_back = self.lease.lasts;
-            return vec![(director, FromKeeper::Full { epoch, school, token, n, come_back })];
+            let come_back = self.lease.duration;
+            return vec![(director, KeeperResponse::Full { epoch, school, token, n, come_back })];
         };
         let overtaken = pool.released.get(&(epoch, token.clone())).is_some_and(|r| r.0 >= n);
         let held = pool.seats.get(&token).cloned();
-        let granted = FromKeeper::Granted { epoch, school: school.clone(), token: token.clone(), n };
+        let granted = KeeperResponse::Granted { epoch, school: school.clone(), token: token.clone(), n };
         if now > expires + self.lease.clock_error {
-            return vec![(director, FromKeeper::Expired { epoch, school, token, n })];
+            return vec![(director, KeeperResponse::Expired { epoch, school, token, n })];
         }
         let lent = pool.lent.get(&epoch).map_or(0, |l| l.0);
         let same = held.as_ref().filter(|s| s.epoch == epoch);
@@ -475,11 +475,11 @@
                     self.unlend(&school, epoch, n);
                 }
                 self.change(seat);
-                let until = now + self.lease.lasts;
+                let until = now + self.lease.duration;
                 if let Some(pool) = self.pools.get_mut(&school) {
                     pool.released.insert((before.epoch, token.clone()), (before.n, until));
                 }
-                let moved = FromKeeper::Moved { epoch: before.epoch, school, token, n: before.n };
+                let moved = KeeperResponse::Moved { epoch: before.epoch, school, token, n: before.n };
                 vec![(director, granted), (before.director, moved)]
             }
             None if spent && lent > 0 => {
@@ -493,7 +493,7 @@
             }
             None => {
                 let come_back = self.next_end(&school, now);
-                vec![(director, FromKeeper::Full { epoch, school, token, n, come_back })]
+                vec![(director, KeeperResponse::Full { epoch, school, token, n, come_back })]
             }
         }
     }
@@ -513,7 +513,7 @@
     /// When the next seat may come free, from now.
     fn next_end(&self, school: &School, now: f64) -> f64 {
         let ends = self.pools.get(school).into_iter().flat_map(|p| p.seats.values()).map(|s| s.expires - now);
-        ends.fold(self.lease.lasts, f64::min).max(1.0)
+        ends.fold(self.lease.duration, f64::min).max(1.0)
     }
 
     fn release(&mut self, now: f64, epoch: Epoch, school: &School, token: &TokenId, n: u64) {
@@ -523,7 +523,7 @@
         if seat.is_some_and(|s| s.epoch == epoch && s.n <= n) {
             self.change(Change::Freed { school: school.clone(), token: token.clone() });
         }
-        let until = now + self.lease.lasts;
+        let until = now + self.lease.duration;
         let Some(pool) = self.pools.get_mut(&school) else { return };
         pool.moved.retain(|m| (m.0, &m.1) != (epoch, &token) || m.2 > n);
         if pool.released.len() >= MAX_RELEASED {
@@ -534,27 +534,27 @@
         *seen = (seen.0.max(n), until);
     }
 
-    fn lend(&mut self, now: f64, epoch: Epoch, school: &School, want: u32, n: u64) -> FromKeeper {
+    fn lend(&mut self, now: f64, epoch: Epoch, school: &School, want: u32, n: u64) -> KeeperResponse {
         let directors = self.current.len().max(1) as u32;
         let Some(pool) = self.pools.get(school) else {
-            return FromKeeper::Lent {
+            return KeeperResponse::Lent {
                 epoch,
                 school: school.clone(),
                 count: 0,
-                until: now + self.lease.lasts,
+                until: now + self.lease.duration,
                 n,
             };
         };
         let (have, until, last) = pool.lent.get(&epoch).copied().unwrap_or((0, 0.0, 0));
         if n <= last {
-            return FromKeeper::Lent { epoch, school: school.clone(), count: have, until, n: last };
+            return KeeperResponse::Lent { epoch, school: school.clone(), count: have, until, n: last };
         }
         // No director gets more of what is free than its even part, so that none is left without.
         let most = have + (pool.free() / directors).max(u32::from(pool.free() > 0));
         let count = want.min(most);
-        let until = now + self.lease.lasts;
+        let until = now + self.lease.duration;
         self.change(Change::Lent { school: school.clone(), epoch, count, until, n });
-        FromKeeper::Lent { epoch, school: school.clone(), count, until, n }
+        KeeperResponse::Lent { epoch, school: school.clone(), count, until, n }
     }
 
     /// Whether the books are in order; what is wrong, else.
--- a/crates/kelpdoor-seats/src/lib.rs
+++ b/crates/kelpdoor-seats/src/lib.rs
@@ -8,8 +8,8 @@
 mod holder;
 mod ledger;
 
-pub use holder::{EndedWhy, Holder, Out, Patience, RefusedWhy};
-pub use ledger::{Change, Lease, Ledger, Standing};
+pub use holder::{EndReason, Holder, HolderTimeouts, Output, RefusalReason};
+pub use ledger::{Change, LeaseTerms, Ledger, SchoolStatus};
 
 use serde::{Deserialize, Serialize};
 
@@ -31,7 +31,7 @@
 
 /// From a director to the keeper. `n` numbers a director's words within its epoch, and answers name it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ToKeeper {
+pub enum KeeperRequest {
     /// A director started and has no epoch yet; `nonce` tells one start from another.
     Hello {
         director: DirectorId,
@@ -80,7 +80,7 @@
 
 /// From the keeper to a director.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum FromKeeper {
+pub enum KeeperResponse {
     Welcome {
         nonce: u64,
         epoch: Epoch,
--- a/crates/kelpdoor-seats/tests/simulated.rs
+++ b/crates/kelpdoor-seats/tests/simulated.rs
@@ -7,14 +7,15 @@
 use fastrand::Rng;
 use kelpdoor_seats::*;
 
-const LEASE: Lease = Lease { lasts: 20.0, clock_error: 2.5 };
-const PATIENCE: Patience = Patience { claim: 0.3, beat_every: 3.0, resend: (0.4, 4.0), ahead: 2 };
+const LEASE: LeaseTerms = LeaseTerms { duration: 20.0, clock_error: 2.5 };
+const PATIENCE: HolderTimeouts =
+    HolderTimeouts { claim_timeout: 0.3, heartbeat_interval: 3.0, resend: (0.4, 4.0), seats_ahead: 2 };
 const DIRECTORS: u32 = 3;
 
 #[derive(Clone, Debug)]
 enum Event {
-    ToKeeper(ToKeeper),
-    ToDirector(DirectorId, FromKeeper),
+    KeeperRequest(KeeperRequest),
+    ToDirector(DirectorId, KeeperResponse),
     Tick(u32, u64),
     Arrive,
     /// The viewer of that token is done, or comes again elsewhere.
@@ -80,8 +81,8 @@
         };
         let school = world.school.clone();
         let ledger = world.ledger.as_mut().unwrap();
-        ledger.buy(&school, bought);
-        world.kept.extend(ledger.changes());
+        ledger.set_seats(&school, bought);
+        world.kept.extend(ledger.take_changes());
         (0..DIRECTORS).for_each(|d| world.tick(d));
         world
     }
@@ -110,23 +111,23 @@
         self.now + self.off[d as usize]
     }
 
-    fn done(&mut self, d: u32, out: Vec<Out>) {
+    fn done(&mut self, d: u32, out: Vec<Output>) {
         for o in out {
             match o {
-                Out::Send(word) => self.send(Event::ToKeeper(word)),
-                Out::Granted { .. } => self.granted += 1,
-                Out::Refused { token, why, .. } => {
+                Output::Send(word) => self.send(Event::KeeperRequest(word)),
+                Output::Granted { .. } => self.granted += 1,
+                Output::Refused { token, why, .. } => {
                     let name = match why {
-                        RefusedWhy::Full { .. } => "full",
-                        RefusedWhy::Expired => "expired",
-                        RefusedWhy::NoKeeper => "no keeper",
+                        RefusalReason::Full { .. } => "full",
+                        RefusalReason::Expired => "expired",
+                        RefusalReason::NoKeeper => "no keeper",
                     };
                     *self.refused.entry(name).or_default() += 1;
                     if self.tokens.get(&token).is_some_and(|t| t.0 == d) {
                         self.tokens.remove(&token);
                     }
                 }
-                Out::Ended { token, .. } => {
+                Output::Ended { token, .. } => {
                     self.ended += 1;
                     if self.tokens.get(&token).is_some_and(|t| t.0 == d) {
                         self.tokens.remove(&token);
@@ -140,23 +141,23 @@
     fn tick(&mut self, d: u32) {
         self.ticks[d as usize] += 1;
         let n = self.ticks[d as usize];
-        let wait = (self.holders[d as usize].next() - self.clock(d)).clamp(0.02, 5.0);
+        let wait = (self.holders[d as usize].next_timer_at() - self.clock(d)).clamp(0.02, 5.0);
         self.at(wait, Event::Tick(d, n));
     }
 
     fn ask(&mut self, d: u32, token: &TokenId, expires: f64) {
         let (now, school) = (self.clock(d), self.school.clone());
-        let out = self.holders[d as usize].ask(now, &school, token, expires, 1.0);
+        let out = self.holders[d as usize].request_seat(now, &school, token, expires, 1.0);
         self.done(d, out);
     }
 
     fn act(&mut self, event: Event) {
         match event {
-            Event::ToKeeper(word) => {
+            Event::KeeperRequest(word) => {
                 let now = self.now;
                 let Some(ledger) = &mut self.ledger else { return };
-                let answers = ledger.take(now, &word);
-                self.kept.extend(ledger.changes());
+                let answers = ledger.handle_request(now, &word);
+                self.kept.extend(ledger.take_changes());
                 // Now and then it dies between writing down and answering.
                 if self.trouble && self.rng.f64() < 0.0005 {
                     return self.act(Event::KeeperDown);
@@ -165,7 +166,7 @@
             }
             Event::ToDirector(d, word) => {
                 let now = self.clock(d.0);
-                let out = self.holders[d.0 as usize].heard(now, &word);
+                let out = self.holders[d.0 as usize].handle_response(now, &word);
                 self.done(d.0, out);
             }
             Event::Tick(d, n) => {
@@ -227,7 +228,7 @@
                 if self.ledger.is_none() {
                     let mut ledger = Ledger::new(LEASE);
                     self.kept.iter().for_each(|c| ledger.apply(c));
-                    ledger.resumed(self.now);
+                    ledger.resume(self.now);
                     self.ledger = Some(ledger);
                 }
             }
@@ -264,7 +265,7 @@
             if let Some(ledger) = &self.ledger {
                 ledger.audit()?;
             }
-            let lent = |d: usize| self.holders[d].lent(self.clock(d as u32), &self.school) as usize;
+            let lent = |d: usize| self.holders[d].leased(self.clock(d as u32), &self.school) as usize;
             let used = self.in_use() + (0..self.holders.len()).map(lent).sum::<usize>();
             if used > self.bought as usize {
                 return Err(format!("{used} seats in use or lent of {} at {:.3}", self.bought, self.now));
@@ -299,8 +300,8 @@
     let now = world.now;
     let ledger = world.ledger.as_mut().ok_or("the keeper is down")?;
     ledger.expire(now);
-    let s = ledger.standing(&school);
-    if held > 0 || s.held > 0 || s.free + s.lent != s.bought {
+    let s = ledger.status(&school);
+    if held > 0 || s.held > 0 || s.free + s.leased != s.bought {
         return Err(format!("stranded: {held} at directors, {s:?}"));
     }
     Ok(world)
--- a/crates/kelpdoor-seats/tests/table.rs
+++ b/crates/kelpdoor-seats/tests/table.rs
@@ -4,8 +4,9 @@
 use expect_test::{Expect, expect};
 use kelpdoor_seats::*;
 
-const LEASE: Lease = Lease { lasts: 20.0, clock_error: 2.5 };
-const PATIENCE: Patience = Patience { claim: 0.3, beat_every: 3.0, resend: (0.4, 4.0), ahead: 0 };
+const LEASE: LeaseTerms = LeaseTerms { duration: 20.0, clock_error: 2.5 };
+const PATIENCE: HolderTimeouts =
+    HolderTimeouts { claim_timeout: 0.3, heartbeat_interval: 3.0, resend: (0.4, 4.0), seats_ahead: 0 };
 
 fn school() -> School {
     School("olaf".into())
@@ -23,74 +24,74 @@
     said: Vec<String>,
 }
 
-fn short(word: &FromKeeper) -> String {
+fn short(word: &KeeperResponse) -> String {
     match word {
-        FromKeeper::Welcome { epoch, .. } => format!("welcome to {}", epoch.0),
-        FromKeeper::Alive { n, .. } => format!("alive {n}"),
-        FromKeeper::Fenced { epoch } => format!("{} fenced", epoch.0),
-        FromKeeper::Granted { token, n, .. } => format!("granted {} by {n}", token.0),
-        FromKeeper::Freed { token, n, .. } => format!("freed {} by {n}", token.0),
-        FromKeeper::Full { token, come_back, .. } => {
+        KeeperResponse::Welcome { epoch, .. } => format!("welcome to {}", epoch.0),
+        KeeperResponse::Alive { n, .. } => format!("alive {n}"),
+        KeeperResponse::Fenced { epoch } => format!("{} fenced", epoch.0),
+        KeeperResponse::Granted { token, n, .. } => format!("granted {} by {n}", token.0),
+        KeeperResponse::Freed { token, n, .. } => format!("freed {} by {n}", token.0),
+        KeeperResponse::Full { token, come_back, .. } => {
             format!("full for {}, come back in {come_back:.0}", token.0)
         }
-        FromKeeper::Expired { token, .. } => format!("expired {}", token.0),
-        FromKeeper::Moved { token, n, .. } => format!("moved {}, held by {n}", token.0),
-        FromKeeper::Lent { count, until, .. } => format!("lent {count} until {until:.0}"),
+        KeeperResponse::Expired { token, .. } => format!("expired {}", token.0),
+        KeeperResponse::Moved { token, n, .. } => format!("moved {}, held by {n}", token.0),
+        KeeperResponse::Lent { count, until, .. } => format!("lent {count} until {until:.0}"),
     }
 }
 
 impl Table {
     fn new(seats: u32) -> Self {
         let mut t = Table { ledger: Ledger::new(LEASE), kept: Vec::new(), now: 100.0, said: Vec::new() };
-        t.ledger.buy(&school(), seats);
+        t.ledger.set_seats(&school(), seats);
         t.hello(0, 1);
         t.hello(1, 2);
         t.said.clear();
         t
     }
 
-    fn take(&mut self, word: ToKeeper) {
-        let answers = self.ledger.take(self.now, &word);
-        self.kept.extend(self.ledger.changes());
+    fn take(&mut self, word: KeeperRequest) {
+        let answers = self.ledger.handle_request(self.now, &word);
+        self.kept.extend(self.ledger.take_changes());
         let answers: Vec<String> = answers.iter().map(|(d, w)| format!("{}: {}", d.0, short(w))).collect();
-        let s = self.ledger.standing(&school());
+        let s = self.ledger.status(&school());
         let answers = if answers.is_empty() { "nothing".into() } else { answers.join("; ") };
-        self.said.push(format!("{answers} | held {} lent {} free {}", s.held, s.lent, s.free));
+        self.said.push(format!("{answers} | held {} lent {} free {}", s.held, s.leased, s.free));
     }
 
     fn hello(&mut self, director: u32, nonce: u64) {
-        self.take(ToKeeper::Hello { director: DirectorId(director), nonce });
+        self.take(KeeperRequest::Hello { director: DirectorId(director), nonce });
     }
 
     fn claim(&mut self, epoch: u64, token: &str, lasts: f64, n: u64) {
         let (director, epoch, expires) = (DirectorId(epoch as u32 - 1), Epoch(epoch), self.now + lasts);
-        self.take(ToKeeper::Claim { director, epoch, school: school(), token: id(token), expires, n });
+        self.take(KeeperRequest::Claim { director, epoch, school: school(), token: id(token), expires, n });
     }
 
     fn spent(&mut self, epoch: u64, token: &str, lasts: f64, n: u64) {
         let (director, epoch, expires) = (DirectorId(epoch as u32 - 1), Epoch(epoch), self.now + lasts);
-        self.take(ToKeeper::Spent { director, epoch, school: school(), token: id(token), expires, n });
+        self.take(KeeperRequest::Spent { director, epoch, school: school(), token: id(token), expires, n });
     }
 
     fn release(&mut self, epoch: u64, token: &str, n: u64) {
         let (director, epoch) = (DirectorId(epoch as u32 - 1), Epoch(epoch));
-        self.take(ToKeeper::Release { director, epoch, school: school(), token: id(token), n });
+        self.take(KeeperRequest::Release { director, epoch, school: school(), token: id(token), n });
     }
 
     fn lend(&mut self, epoch: u64, want: u32, n: u64) {
         let (director, epoch) = (DirectorId(epoch as u32 - 1), Epoch(epoch));
-        self.take(ToKeeper::Lend { director, epoch, school: school(), want, n });
+        self.take(KeeperRequest::Lend { director, epoch, school: school(), want, n });
     }
 
     fn beat(&mut self, epoch: u64, n: u64) {
-        self.take(ToKeeper::Beat { director: DirectorId(epoch as u32 - 1), epoch: Epoch(epoch), n });
+        self.take(KeeperRequest::Beat { director: DirectorId(epoch as u32 - 1), epoch: Epoch(epoch), n });
     }
 
     /// Killed and started again from what was kept.
     fn restart(&mut self) {
         let mut ledger = Ledger::new(LEASE);
         self.kept.iter().for_each(|c| ledger.apply(c));
-        ledger.resumed(self.now);
+        ledger.resume(self.now);
         self.ledger = ledger;
         self.said.push("restarted".into());
     }
@@ -203,7 +204,7 @@
     let mut t = Table::new(3);
     t.claim(1, "a", 60.0, 1);
     t.claim(1, "b", 60.0, 2);
-    t.ledger.buy(&school(), 1);
+    t.ledger.set_seats(&school(), 1);
     t.claim(1, "b", 90.0, 3);
     t.claim(2, "c", 60.0, 1);
     t.release(1, "a", 4);
@@ -247,7 +248,7 @@
     t.claim(1, "a", 600.0, 2);
     // It starts again; the viewer of `a` comes back with its token, the loan of the old epoch still counts.
     t.hello(0, 77);
-    t.take(ToKeeper::Claim {
+    t.take(KeeperRequest::Claim {
         director: DirectorId(0),
         epoch: Epoch(3),
         school: school(),
@@ -273,42 +274,42 @@
 }
 
 /// What a holder does, shortly.
-fn did(out: &[Out]) -> String {
-    let of = |o: &Out| match o {
-        Out::Send(ToKeeper::Hello { .. }) => "hello".into(),
-        Out::Send(ToKeeper::Beat { .. }) => "beat".into(),
-        Out::Send(ToKeeper::Claim { token, .. }) => format!("claim {}", token.0),
-        Out::Send(ToKeeper::Spent { token, .. }) => format!("spent {}", token.0),
-        Out::Send(ToKeeper::Release { token, .. }) => format!("release {}", token.0),
-        Out::Send(ToKeeper::Lend { want, .. }) => format!("lend {want}"),
-        Out::Granted { token, .. } => format!("GRANTED {}", token.0),
-        Out::Refused { token, why, .. } => format!("REFUSED {} {why:?}", token.0),
-        Out::Ended { token, why, .. } => format!("ENDED {} {why:?}", token.0),
+fn did(out: &[Output]) -> String {
+    let of = |o: &Output| match o {
+        Output::Send(KeeperRequest::Hello { .. }) => "hello".into(),
+        Output::Send(KeeperRequest::Beat { .. }) => "beat".into(),
+        Output::Send(KeeperRequest::Claim { token, .. }) => format!("claim {}", token.0),
+        Output::Send(KeeperRequest::Spent { token, .. }) => format!("spent {}", token.0),
+        Output::Send(KeeperRequest::Release { token, .. }) => format!("release {}", token.0),
+        Output::Send(KeeperRequest::Lend { want, .. }) => format!("lend {want}"),
+        Output::Granted { token, .. } => format!("GRANTED {}", token.0),
+        Output::Refused { token, why, .. } => format!("REFUSED {} {why:?}", token.0),
+        Output::Ended { token, why, .. } => format!("ENDED {} {why:?}", token.0),
     };
     out.iter().map(of).collect::<Vec<String>>().join(", ")
 }
 
 /// A director that has its epoch, its first beat heard.
 fn holder(ahead: u32) -> (Holder, Ledger) {
-    let mut h = Holder::new(DirectorId(0), 7, LEASE, Patience { ahead, ..PATIENCE });
+    let mut h = Holder::new(DirectorId(0), 7, LEASE, HolderTimeouts { seats_ahead: ahead, ..PATIENCE });
     let mut ledger = Ledger::new(LEASE);
-    ledger.buy(&school(), 2);
+    ledger.set_seats(&school(), 2);
     let out = h.tick(100.0);
     carry(&mut h, &mut ledger, 100.0, out);
     (h, ledger)
 }
 
 /// Carries words to and fro until none is left; what else was done.
-fn carry(h: &mut Holder, ledger: &mut Ledger, now: f64, out: Vec<Out>) -> Vec<Out> {
+fn carry(h: &mut Holder, ledger: &mut Ledger, now: f64, out: Vec<Output>) -> Vec<Output> {
     let (mut open, mut done) = (out, Vec::new());
     while !open.is_empty() {
         for o in std::mem::take(&mut open) {
-            let Out::Send(word) = &o else {
+            let Output::Send(word) = &o else {
                 done.push(o);
                 continue;
             };
-            for (_, answer) in ledger.take(now, word) {
-                open.extend(h.heard(now, &answer));
+            for (_, answer) in ledger.handle_request(now, word) {
+                open.extend(h.handle_response(now, &answer));
             }
         }
     }
@@ -318,52 +319,52 @@
 #[test]
 fn a_lease_that_ran_out_in_a_stall_ends_what_was_held_and_asks_anew() {
     let (mut h, mut ledger) = holder(0);
-    let out = h.ask(100.0, &school(), &id("a"), 1000.0, 1.0);
+    let out = h.request_seat(100.0, &school(), &id("a"), 1000.0, 1.0);
     assert_eq!(did(&carry(&mut h, &mut ledger, 100.0, out)), "GRANTED a");
     // It stands still for less than its lease, then for more; the keeper frees later than it ends.
     assert_eq!(did(&h.tick(110.0)), "beat");
     let out = h.tick(121.0);
     assert_eq!(did(&out), "ENDED a Lapsed, hello");
     ledger.expire(121.0);
-    assert_eq!(ledger.standing(&school()).held, 1);
+    assert_eq!(ledger.status(&school()).held, 1);
     ledger.expire(123.0);
-    assert_eq!(ledger.standing(&school()).held, 0);
+    assert_eq!(ledger.status(&school()).held, 0);
     // With no epoch there is nothing to do but hellos: no spinning.
-    assert!(h.next() > 121.0, "{}", h.next());
-    let out = h.ask(122.0, &school(), &id("b"), 1000.0, 1.0);
+    assert!(h.next_timer_at() > 121.0, "{}", h.next_timer_at());
+    let out = h.request_seat(122.0, &school(), &id("b"), 1000.0, 1.0);
     assert_eq!(did(&out), "hello");
-    assert!(h.next() > 122.0, "{}", h.next());
+    assert!(h.next_timer_at() > 122.0, "{}", h.next_timer_at());
 }
 
 #[test]
 fn without_a_keeper_what_was_lent_is_used_and_then_the_answer_is_in_time() {
     let (mut h, mut ledger) = holder(1);
-    let out = h.ask(100.0, &school(), &id("a"), 1000.0, 1.0);
+    let out = h.request_seat(100.0, &school(), &id("a"), 1000.0, 1.0);
     assert_eq!(did(&carry(&mut h, &mut ledger, 100.0, out)), "GRANTED a");
     let out = h.tick(103.5);
     carry(&mut h, &mut ledger, 103.5, out);
-    assert_eq!(ledger.standing(&school()).lent, 1);
+    assert_eq!(ledger.status(&school()).leased, 1);
     // The keeper hears nothing any more.
-    assert_eq!(did(&h.ask(104.0, &school(), &id("b"), 1000.0, 1.0)), "claim b");
+    assert_eq!(did(&h.request_seat(104.0, &school(), &id("b"), 1000.0, 1.0)), "claim b");
     assert_eq!(did(&h.tick(104.31)), "spent b, GRANTED b");
-    assert_eq!(did(&h.ask(104.4, &school(), &id("c"), 1000.0, 0.1)), "claim c");
+    assert_eq!(did(&h.request_seat(104.4, &school(), &id("c"), 1000.0, 0.1)), "claim c");
     assert_eq!(did(&h.tick(104.51)), "REFUSED c NoKeeper, release c");
     // Renewals of what is held need no answer.
-    assert_eq!(did(&h.ask(105.0, &school(), &id("a"), 2000.0, 1.0)), "claim a, GRANTED a");
+    assert_eq!(did(&h.request_seat(105.0, &school(), &id("a"), 2000.0, 1.0)), "claim a, GRANTED a");
 }
 
 #[test]
 fn a_move_that_is_said_late_does_not_end_what_was_claimed_anew() {
     let (mut h, mut ledger) = holder(0);
-    let out = h.ask(100.0, &school(), &id("a"), 1000.0, 1.0);
+    let out = h.request_seat(100.0, &school(), &id("a"), 1000.0, 1.0);
     carry(&mut h, &mut ledger, 100.0, out);
     let (epoch, n) = (Epoch(1), u64::MAX);
-    let moved = |n| FromKeeper::Moved { epoch, school: school(), token: id("a"), n };
+    let moved = |n| KeeperResponse::Moved { epoch, school: school(), token: id("a"), n };
     // Of an older holding than this one.
-    assert_eq!(did(&h.heard(101.0, &moved(0))), "");
-    assert_eq!(did(&h.heard(101.0, &moved(n))), "ENDED a Moved, release a");
+    assert_eq!(did(&h.handle_response(101.0, &moved(0))), "");
+    assert_eq!(did(&h.handle_response(101.0, &moved(n))), "ENDED a Moved, release a");
     // Said once more: only confirmed once more.
-    assert_eq!(did(&h.heard(101.1, &moved(n))), "release a");
+    assert_eq!(did(&h.handle_response(101.1, &moved(n))), "release a");
 }
 
 #[test]
@@ -372,52 +373,52 @@
     // lease ends on both sides.
     for cut in [false, true] {
         let mut ledger = Ledger::new(LEASE);
-        ledger.buy(&school(), 1);
+        ledger.set_seats(&school(), 1);
         let mut slow = Holder::new(DirectorId(0), 7, LEASE, PATIENCE);
         let out = slow.tick(98.0);
         carry(&mut slow, &mut ledger, 100.0, out);
-        let out = slow.ask(98.0, &school(), &id("a"), if cut { 500.0 } else { 110.0 }, 1.0);
+        let out = slow.request_seat(98.0, &school(), &id("a"), if cut { 500.0 } else { 110.0 }, 1.0);
         assert_eq!(did(&carry(&mut slow, &mut ledger, 100.0, out)), "GRANTED a");
         for tenth in 0..300 {
             let now = 100.0 + f64::from(tenth) / 10.0;
             let out = slow.tick(now - 2.0);
             if !cut {
                 for o in out {
-                    let Out::Send(word) = o else { continue };
-                    for (_, answer) in ledger.take(now, &word) {
-                        slow.heard(now - 2.0, &answer);
+                    let Output::Send(word) = o else { continue };
+                    for (_, answer) in ledger.handle_request(now, &word) {
+                        slow.handle_response(now - 2.0, &answer);
                     }
                 }
             }
             ledger.expire(now);
-            let free = ledger.standing(&school()).free == 1;
+            let free = ledger.status(&school()).free == 1;
             assert!(!(free && slow.holds(&school(), &id("a"))), "free and held at {now}");
         }
-        assert_eq!((slow.held(), ledger.standing(&school()).free), (0, 1));
+        assert_eq!((slow.held(), ledger.status(&school()).free), (0, 1));
     }
 }
 
 #[test]
 fn a_renewal_made_while_the_keeper_is_away_keeps_its_seat_though_the_old_expiry_passed() {
     let (mut h, mut ledger) = holder(0);
-    let out = h.ask(100.0, &school(), &id("a"), 105.0, 1.0);
+    let out = h.request_seat(100.0, &school(), &id("a"), 105.0, 1.0);
     carry(&mut h, &mut ledger, 100.0, out);
-    assert_eq!(did(&h.ask(104.0, &school(), &id("a"), 200.0, 1.0)), "claim a, GRANTED a");
+    assert_eq!(did(&h.request_seat(104.0, &school(), &id("a"), 200.0, 1.0)), "claim a, GRANTED a");
     // The keeper was away for long after the old expiry; it is back before the renewal comes again.
     ledger.expire(113.0);
-    assert_eq!(ledger.standing(&school()).held, 1);
+    assert_eq!(ledger.status(&school()).held, 1);
     let out = h.tick(113.0);
     carry(&mut h, &mut ledger, 113.0, out);
     ledger.expire(114.0);
-    assert_eq!((h.held(), ledger.standing(&school()).held), (1, 1));
+    assert_eq!((h.held(), ledger.status(&school()).held), (1, 1));
     // Without a renewal the director ends it and says so.
     let (mut h, mut ledger) = holder(0);
-    let out = h.ask(100.0, &school(), &id("a"), 105.0, 1.0);
+    let out = h.request_seat(100.0, &school(), &id("a"), 105.0, 1.0);
     carry(&mut h, &mut ledger, 100.0, out);
     let out = h.tick(105.0);
     assert_eq!(did(&out), "beat, ENDED a Expired, release a");
     carry(&mut h, &mut ledger, 105.0, out);
-    assert_eq!(ledger.standing(&school()).free, 2);
+    assert_eq!(ledger.status(&school()).free, 2);
 }
 
 #[test]
@@ -446,32 +447,32 @@
     t.claim(2, "a", 60.0, 1);
     t.lend(1, 1, 2);
     t.hello(0, 9);
-    let whole = t.ledger.standing_changes();
+    let whole = t.ledger.snapshot();
     let mut again = Ledger::new(LEASE);
     whole.iter().for_each(|c| again.apply(c));
-    assert_eq!(again.standing(&school()), t.ledger.standing(&school()));
+    assert_eq!(again.status(&school()), t.ledger.status(&school()));
     assert_eq!(again.holder(&school(), &id("a")), t.ledger.holder(&school(), &id("a")));
-    assert_eq!(again.standing_changes(), whole);
+    assert_eq!(again.snapshot(), whole);
 }
 
 #[test]
 fn an_answer_to_a_claim_that_was_given_up_holds_nothing() {
     let (mut h, _) = holder(0);
-    let n = |out: &[Out]| match out {
-        [Out::Send(ToKeeper::Claim { n, .. }), ..] => *n,
+    let n = |out: &[Output]| match out {
+        [Output::Send(KeeperRequest::Claim { n, .. }), ..] => *n,
         other => panic!("{}", did(other)),
     };
-    let first = n(&h.ask(100.0, &school(), &id("a"), 500.0, 1.0));
+    let first = n(&h.request_seat(100.0, &school(), &id("a"), 500.0, 1.0));
     assert_eq!(did(&h.release(100.01, &school(), &id("a"))), "release a");
-    let second = n(&h.ask(100.02, &school(), &id("a"), 500.0, 1.0));
-    let granted = |n| FromKeeper::Granted { epoch: Epoch(1), school: school(), token: id("a"), n };
+    let second = n(&h.request_seat(100.02, &school(), &id("a"), 500.0, 1.0));
+    let granted = |n| KeeperResponse::Granted { epoch: Epoch(1), school: school(), token: id("a"), n };
     // Overtaken by its release at the keeper, which holds nothing for it.
-    assert_eq!(did(&h.heard(100.03, &granted(first))), "");
+    assert_eq!(did(&h.handle_response(100.03, &granted(first))), "");
     assert!(!h.holds(&school(), &id("a")));
     // A retry with a longer token is said to the keeper, and only that answer counts.
-    let third = n(&h.ask(100.04, &school(), &id("a"), 900.0, 1.0));
-    assert_eq!(did(&h.heard(100.05, &granted(second))), "");
-    assert_eq!(did(&h.heard(100.06, &granted(third))), "GRANTED a");
+    let third = n(&h.request_seat(100.04, &school(), &id("a"), 900.0, 1.0));
+    assert_eq!(did(&h.handle_response(100.05, &granted(second))), "");
+    assert_eq!(did(&h.handle_response(100.06, &granted(third))), "GRANTED a");
 }
 
 #[test]
