--- a/crates/kelpdoor-director/src/keeping.rs
+++ b/crates/kelpdoor-director/src/keeping.rs
@@ -8,7 +8,7 @@
 use kelpdoor_keeper::{Ask, KeeperOptions, RunningKeeper, Tell};
 use kelpdoor_script::{Keeper, School};
 use kelpdoor_seats::{KeeperRequest, LeaseTerms};
-use kelpdoor_tokens::pool;
+use kelpdoor_tokens::seat_pool;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -36,7 +36,7 @@
 
 /// Schools as a keeper counts them.
 pub fn pools(schools: &[School]) -> Vec<(kelpdoor_seats::School, u32)> {
-    schools.iter().map(|s| (pool(&s.name, s.seat_class.as_deref()), s.seats)).collect()
+    schools.iter().map(|s| (seat_pool(&s.name, s.seat_class.as_deref()), s.seats)).collect()
 }
 
 /// The keeper's address, and the keeper if it runs here.
--- a/crates/kelpdoor-director/src/lib.rs
+++ b/crates/kelpdoor-director/src/lib.rs
@@ -27,4 +27,4 @@
     ToRoster,
 };
 pub use shell::{Running, ServeOptions, serve};
-pub use store::{StoreFault, load_list, save_list};
+pub use store::{StoreError, load_list, save_list};
--- a/crates/kelpdoor-director/src/store.rs
+++ b/crates/kelpdoor-director/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-pub use kelpdoor_kept::StoreFault;
+pub use kelpdoor_kept::StoreError;
 
 use crate::roster::RosterList;
 
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// Where the folder cannot be written; the old file stands then.
-pub fn save_list(path: &Path, list: &RosterList) -> Result<(), StoreFault> {
+pub fn save_list(path: &Path, list: &RosterList) -> Result<(), StoreError> {
     kelpdoor_kept::save(path, FORMAT, list)
 }
 
@@ -20,6 +20,6 @@
 ///
 /// # Errors
 /// A file that is not as it was written is named and never loaded.
-pub fn load_list(path: &Path) -> Result<Option<RosterList>, StoreFault> {
+pub fn load_list(path: &Path) -> Result<Option<RosterList>, StoreError> {
     kelpdoor_kept::load(path, FORMAT)
 }
--- a/crates/kelpdoor-director/src/verify.rs
+++ b/crates/kelpdoor-director/src/verify.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use kelpdoor_script::{Deployment, Tokens};
-use kelpdoor_tokens::{KeySet, Rules, verify};
+use kelpdoor_tokens::{KeySet, TokenRules, verify};
 use tokio::time::sleep;
 
 use crate::effect::Shown;
@@ -15,7 +15,7 @@
 
 pub struct Verifier {
     book: Tokens,
-    rules: Rules,
+    rules: TokenRules,
     keys: RwLock<Arc<KeySet>>,
     /// Of the whole director: a flood of tokens over many sockets must not take its cores.
     gate: Mutex<Gate>,
@@ -26,7 +26,7 @@
 
 fn read(path: &Path) -> Result<(String, KeySet), String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
-    let keys = KeySet::read(&text).map_err(|e| e.to_string())?;
+    let keys = KeySet::parse(&text).map_err(|e| e.to_string())?;
     Ok((text, keys))
 }
 
@@ -40,10 +40,10 @@
         let Some(tokens) = book.tokens.clone().filter(|_| !groups.is_empty()) else { return Ok(None) };
         let fault = |e| io::Error::other(format!("key set {}: {e}", tokens.keys.display()));
         let keys = read(&tokens.keys).map_err(fault)?.1;
-        let rules = Rules {
+        let rules = TokenRules {
             audience: tokens.audience.clone(),
             clock_error: tokens.clock_error,
-            longest: tokens.longest,
+            max_lifetime: tokens.longest,
         };
         Ok(Some(Arc::new(Verifier {
             rules,
--- a/crates/kelpdoor-kept/src/lib.rs
+++ b/crates/kelpdoor-kept/src/lib.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 
 #[derive(Debug, thiserror::Error)]
-pub enum StoreFault {
+pub enum StoreError {
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
     #[error("{0}: the header is not \"{1} CHECKSUM\"")]
@@ -24,9 +24,9 @@
 ///
 /// # Errors
 /// Where the folder cannot be written; the old file stands then, unless its folder's sync alone failed.
-pub fn save<T: Serialize>(path: &Path, format: &str, value: &T) -> Result<(), StoreFault> {
-    let io = |e| StoreFault::Io(path.to_owned(), e);
-    let body = serde_json::to_vec(value).map_err(|e| StoreFault::Content(path.to_owned(), e))?;
+pub fn save<T: Serialize>(path: &Path, format: &str, value: &T) -> Result<(), StoreError> {
+    let io = |e| StoreError::Io(path.to_owned(), e);
+    let body = serde_json::to_vec(value).map_err(|e| StoreError::Content(path.to_owned(), e))?;
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let mut file = tempfile::NamedTempFile::new_in(folder).map_err(io)?;
     writeln!(file, "{format} {:08x}", crc32fast::hash(&body)).map_err(io)?;
@@ -40,12 +40,12 @@
 ///
 /// # Errors
 /// A file that is not as it was written is named and never loaded.
-pub fn load<T: DeserializeOwned>(path: &Path, format: &'static str) -> Result<Option<T>, StoreFault> {
+pub fn load<T: DeserializeOwned>(path: &Path, format: &'static str) -> Result<Option<T>, StoreError> {
     let bytes = match std::fs::read(path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-        other => other.map_err(|e| StoreFault::Io(path.to_owned(), e))?,
+        other => other.map_err(|e| StoreError::Io(path.to_owned(), e))?,
     };
-    let header = || StoreFault::Header(path.to_owned(), format);
+    let header = || StoreError::Header(path.to_owned(), format);
     let end = bytes.iter().position(|&b| b == b'\n').ok_or_else(header)?;
     let first = std::str::from_utf8(&bytes[..end]).map_err(|_| header())?;
     let digits = first.strip_prefix(format).and_then(|s| s.strip_prefix(' ')).ok_or_else(header)?;
@@ -54,9 +54,9 @@
     let body = &bytes[end + 1..];
     let found = crc32fast::hash(body);
     if found != sum {
-        return Err(StoreFault::Checksum(path.to_owned(), sum, found));
+        return Err(StoreError::Checksum(path.to_owned(), sum, found));
     }
-    serde_json::from_slice(body).map(Some).map_err(|e| StoreFault::Content(path.to_owned(), e))
+    serde_json::from_slice(body).map(Some).map_err(|e| StoreError::Content(path.to_owned(), e))
 }
 
 #[cfg(test)]
--- a/crates/kelpdoor-tokens/src/keys.rs
+++ b/crates/kelpdoor-tokens/src/keys.rs
@@ -13,7 +13,7 @@
 const MAX_TEXT: usize = 1 << 16;
 
 #[derive(Debug, thiserror::Error)]
-pub enum KeyFault {
+pub enum KeyError {
     #[error("{0} bytes, {MAX_TEXT} at most")]
     TooLong(usize),
     #[error("not a key set: {0}")]
@@ -52,17 +52,17 @@
     ///
     /// # Errors
     /// The first key that is not as it should be, counted from 1.
-    pub fn read(text: &str) -> Result<Self, KeyFault> {
+    pub fn parse(text: &str) -> Result<Self, KeyError> {
         if text.len() > MAX_TEXT {
-            return Err(KeyFault::TooLong(text.len()));
+            return Err(KeyError::TooLong(text.len()));
         }
         let set: Jwks = serde_json::from_str(text)?;
         if !(1..=MAX_KEYS).contains(&set.keys.len()) {
-            return Err(KeyFault::Count(set.keys.len()));
+            return Err(KeyError::Count(set.keys.len()));
         }
         let mut all = BTreeMap::new();
         for (k, jwk) in set.keys.into_iter().enumerate() {
-            let fault = |what| KeyFault::Key(k + 1, what);
+            let fault = |what| KeyError::Key(k + 1, what);
             if jwk.d.is_some() {
                 return Err(fault("it holds a private key, which belongs to the issuer alone"));
             }
--- a/crates/kelpdoor-tokens/src/lib.rs
+++ b/crates/kelpdoor-tokens/src/lib.rs
@@ -8,7 +8,7 @@
 mod keys;
 
 pub use issue::{Issuer, key_set};
-pub use keys::{KeyFault, KeySet, MAX_KEYS};
+pub use keys::{KeyError, KeySet, MAX_KEYS};
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a token at most; one with long names has some 500.
-pub const MAX_TOKEN: usize = 2048;
+pub const MAX_TOKEN_BYTES: usize = 2048;
 /// Bytes of a name within it at most.
 const MAX_NAME: usize = 128;
 
@@ -69,14 +69,14 @@
 }
 
 /// The name of the pool of a school's seats.
-pub fn pool(school: &str, class: Option<&str>) -> School {
+pub fn seat_pool(school: &str, class: Option<&str>) -> School {
     School(class.map_or_else(|| school.to_owned(), |class| format!("{school}:{class}")))
 }
 
 /// Why a token is refused, as the player hears it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum TokenFault {
-    #[error("the token has {0} bytes, {MAX_TOKEN} at most")]
+pub enum TokenError {
+    #[error("the token has {0} bytes, {MAX_TOKEN_BYTES} at most")]
     TooLong(usize),
     #[error("the token cannot be read ({0}): ask for a new one")]
     Garbled(&'static str),
@@ -102,12 +102,12 @@
 
 /// What tokens have to keep to.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct TokenRules {
     pub audience: String,
     /// s; clocks of issuers may differ from ours by so much.
     pub clock_error: f64,
     /// s; from issue to expiry at most.
-    pub longest: f64,
+    pub max_lifetime: f64,
 }
 
 #[derive(Deserialize)]
@@ -119,75 +119,75 @@
     crit: Option<serde_json::Value>,
 }
 
-fn head(token: &str) -> Result<Head, TokenFault> {
+fn head(token: &str) -> Result<Head, TokenError> {
     let mut parts = token.split('.');
     let (Some(first), Some(_), Some(_), None) = (parts.next(), parts.next(), parts.next(), parts.next())
     else {
-        return Err(TokenFault::Garbled("not three parts"));
+        return Err(TokenError::Garbled("not three parts"));
     };
     let bytes =
-        URL_SAFE_NO_PAD.decode(first).map_err(|_| TokenFault::Garbled("its header is no base64url"))?;
-    serde_json::from_slice(&bytes).map_err(|_| TokenFault::Garbled("its header is no JOSE header"))
+        URL_SAFE_NO_PAD.decode(first).map_err(|_| TokenError::Garbled("its header is no base64url"))?;
+    serde_json::from_slice(&bytes).map_err(|_| TokenError::Garbled("its header is no JOSE header"))
 }
 
-fn name(field: &'static str, text: &str) -> Result<(), TokenFault> {
+fn name(field: &'static str, text: &str) -> Result<(), TokenError> {
     let good =
         !text.is_empty() && text.len() <= MAX_NAME && !text.contains(|c: char| c == ':' || c.is_control());
-    if good { Ok(()) } else { Err(TokenFault::Name(field)) }
+    if good { Ok(()) } else { Err(TokenError::Name(field)) }
 }
 
 /// Verifies a token: its form and names, its signature, then its times and audience.
 ///
 /// # Errors
 /// The first thing found wrong.
-pub fn verify(token: &str, keys: &KeySet, rules: &Rules, now: f64) -> Result<Entitlement, TokenFault> {
-    if token.len() > MAX_TOKEN {
-        return Err(TokenFault::TooLong(token.len()));
+pub fn verify(token: &str, keys: &KeySet, rules: &TokenRules, now: f64) -> Result<Entitlement, TokenError> {
+    if token.len() > MAX_TOKEN_BYTES {
+        return Err(TokenError::TooLong(token.len()));
     }
     let head = head(token)?;
     if head.alg != "EdDSA" {
-        return Err(TokenFault::Algorithm(head.alg.chars().take(16).collect()));
+        return Err(TokenError::Algorithm(head.alg.chars().take(16).collect()));
     }
     if head.crit.is_some() {
-        return Err(TokenFault::Garbled("its header asks for extensions"));
+        return Err(TokenError::Garbled("its header asks for extensions"));
     }
     let kid = head.kid.unwrap_or_default();
     let Some(key) = keys.get(&kid) else {
-        return Err(TokenFault::UnknownKey(kid.chars().take(64).collect()));
+        return Err(TokenError::UnknownKey(kid.chars().take(64).collect()));
     };
     let mut form = Validation::new(Algorithm::EdDSA);
     form.required_spec_claims.clear();
     (form.validate_exp, form.validate_nbf, form.validate_aud) = (false, false, false);
     let claims = decode::<Claims>(token, key, &form).map_err(|e| match e.kind() {
-        ErrorKind::InvalidSignature => TokenFault::Signature,
-        ErrorKind::Json(_) => TokenFault::Garbled("a claim is missing or of a wrong type"),
-        _ => TokenFault::Garbled("its parts are no base64url"),
+        ErrorKind::InvalidSignature => TokenError::Signature,
+        ErrorKind::Json(_) => TokenError::Garbled("a claim is missing or of a wrong type"),
+        _ => TokenError::Garbled("its parts are no base64url"),
     })?;
     check(claims.claims, rules, now)
 }
 
-fn check(c: Claims, rules: &Rules, now: f64) -> Result<Entitlement, TokenFault> {
+fn check(c: Claims, rules: &TokenRules, now: f64) -> Result<Entitlement, TokenError> {
     name("school", &c.school)?;
     name("jti", &c.jti)?;
     c.seat_class.as_deref().map_or(Ok(()), |class| name("seat_class", class))?;
     c.group.as_deref().map_or(Ok(()), |group| name("group", group))?;
     if !c.aud.holds(&rules.audience) {
-        return Err(TokenFault::Audience);
+        return Err(TokenError::Audience);
     }
     if c.iat > now + rules.clock_error {
-        return Err(TokenFault::IssuedAhead(c.iat - now));
+        return Err(TokenError::IssuedAhead(c.iat - now));
     }
     if let Some(nbf) = c.nbf.filter(|nbf| *nbf > now + rules.clock_error) {
-        return Err(TokenFault::NotYet(nbf - now));
+        return Err(TokenError::NotYet(nbf - now));
     }
     // No grace here: the seat is counted to the expiry, and the keeper allows for clocks.
     if c.exp <= now {
-        return Err(TokenFault::Expired(now - c.exp));
+        return Err(TokenError::Expired(now - c.exp));
     }
     // From its issue, so that one long signed ahead is no way round it; it also bounds what `exp` may be.
-    if c.exp - c.iat > rules.longest {
-        return Err(TokenFault::TooLasting(c.exp - c.iat));
+    if c.exp - c.iat > rules.max_lifetime {
+        return Err(TokenError::TooLasting(c.exp - c.iat));
     }
-    let school = pool(&c.school, c.seat_class.as_deref());
+    let school = seat_pool(&c.school, c.seat_class.as_deref());
     Ok(Entitlement { school, token: TokenId(c.jti), group: c.group, expires: c.exp })
 }
--- a/crates/kelpdoor-tokens/tests/refusals.rs
+++ b/crates/kelpdoor-tokens/tests/refusals.rs
@@ -2,14 +2,14 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
-use kelpdoor_tokens::{Audience, Claims, Issuer, KeySet, Rules, key_set, verify};
+use kelpdoor_tokens::{Audience, Claims, Issuer, KeySet, TokenRules, key_set, verify};
 use proptest::prelude::*;
 use serde_json::json;
 
 const NOW: f64 = 1_800_000_000.0;
 
-fn rules() -> Rules {
-    Rules { audience: "kelpdoor".into(), clock_error: 2.0, longest: 7200.0 }
+fn rules() -> TokenRules {
+    TokenRules { audience: "kelpdoor".into(), clock_error: 2.0, max_lifetime: 7200.0 }
 }
 
 fn claims() -> Claims {
@@ -41,7 +41,7 @@
 #[test]
 fn a_good_token_names_its_pool_and_its_end() {
     let issuer = Issuer::new("k1").unwrap();
-    let keys = KeySet::read(&key_set([&issuer])).unwrap();
+    let keys = KeySet::parse(&key_set([&issuer])).unwrap();
     assert_eq!(said(&issuer.sign(&claims()).unwrap(), &keys), "olaf t-1 until 600");
     let class = Claims { seat_class: Some("teacher".into()), ..claims() };
     assert_eq!(said(&issuer.sign(&class).unwrap(), &keys), "olaf:teacher t-1 until 600");
@@ -52,7 +52,7 @@
 #[test]
 fn every_refusal_has_its_reason() {
     let issuer = Issuer::new("k1").unwrap();
-    let keys = KeySet::read(&key_set([&issuer])).unwrap();
+    let keys = KeySet::parse(&key_set([&issuer])).unwrap();
     let sign = |c: Claims| issuer.sign(&c).unwrap();
     let table = [
         (sign(Claims { exp: NOW, ..claims() }), "the token expired 0 s ago: ask for a new one"),
@@ -105,8 +105,8 @@
 #[test]
 fn old_and_new_keys_hold_side_by_side_until_the_old_is_taken_out() {
     let (old, new) = (Issuer::new("k1").unwrap(), Issuer::new("k2").unwrap());
-    let both = KeySet::read(&key_set([&old, &new])).unwrap();
-    let alone = KeySet::read(&key_set([&new])).unwrap();
+    let both = KeySet::parse(&key_set([&old, &new])).unwrap();
+    let alone = KeySet::parse(&key_set([&new])).unwrap();
     let (by_old, by_new) = (old.sign(&claims()).unwrap(), new.sign(&claims()).unwrap());
     assert_eq!(said(&by_old, &both), said(&by_new, &both));
     assert_eq!(said(&by_new, &alone), "olaf t-1 until 600");
@@ -116,7 +116,7 @@
 #[test]
 fn a_bad_key_set_is_refused_whole_with_the_key_named() {
     let issuer = Issuer::new("k1").unwrap();
-    let fault = |text: &str| KeySet::read(text).err().map(|e| e.to_string()).unwrap_or_default();
+    let fault = |text: &str| KeySet::parse(text).err().map(|e| e.to_string()).unwrap_or_default();
     let good = issuer.jwk();
     let with = |name: &str, value: &str| {
         let mut bad = good.clone();
@@ -129,7 +129,7 @@
     assert_eq!(fault(&with("d", "AAAA")), "key 2: it holds a private key, which belongs to the issuer alone");
     assert_eq!(fault("{\"keys\": []}"), "0 keys, 1 to 64 are taken");
     let whole = key_set([&issuer]);
-    assert!((0..whole.len()).all(|cut| KeySet::read(&whole[..cut]).is_err()));
+    assert!((0..whole.len()).all(|cut| KeySet::parse(&whole[..cut]).is_err()));
 }
 
 proptest! {
@@ -139,7 +139,7 @@
     #[test]
     fn no_changed_byte_passes(at in 0usize..400, by in 1u8..=127) {
         let issuer = Issuer::new("k1").unwrap();
-        let keys = KeySet::read(&key_set([&issuer])).unwrap();
+        let keys = KeySet::parse(&key_set([&issuer])).unwrap();
         let good = issuer.sign(&claims()).unwrap();
         let mut bytes = good.clone().into_bytes();
         let at = at % bytes.len();
@@ -152,7 +152,7 @@
     #[test]
     fn anything_is_refused_plainly(text in "\\PC{0,300}") {
         let issuer = Issuer::new("k1").unwrap();
-        let keys = KeySet::read(&key_set([&issuer])).unwrap();
+        let keys = KeySet::parse(&key_set([&issuer])).unwrap();
         prop_assert!(verify(&text, &keys, &rules(), NOW).is_err());
     }
 }
--- a/crates/kelpdoord/src/lib.rs
+++ b/crates/kelpdoord/src/lib.rs
@@ -422,7 +422,7 @@
             if let Some(tokens) = &deployment.tokens {
                 let keys = || tokens.keys.display().to_string();
                 let text = std::fs::read_to_string(&tokens.keys).with_context(keys)?;
-                KeySet::read(&text).with_context(keys)?;
+                KeySet::parse(&text).with_context(keys)?;
             }
             if json {
                 println!("{}", serde_json::to_string_pretty(&deployment)?);
