--- a/crates/kelpdoor-clock/src/lib.rs
+++ b/crates/kelpdoor-clock/src/lib.rs
@@ -16,16 +16,16 @@
 
 /// The arithmetic alone, with both times passed in.
 #[derive(Clone, Copy, Debug)]
-pub struct Slew {
+pub struct SlewedTime {
     mono: f64,
     now: f64,
     offset: f64,
 }
 
-impl Slew {
+impl SlewedTime {
     /// `mono` and `wall` are seconds read at the same moment.
     pub fn new(mono: f64, wall: f64) -> Self {
-        Slew { mono, now: wall, offset: 0.0 }
+        SlewedTime { mono, now: wall, offset: 0.0 }
     }
 
     /// The time now, never less than before, and by how much wall time was stepped since the last call.
@@ -43,9 +43,9 @@
 }
 
 /// Reads the machine's clocks.
-pub struct Clock {
+pub struct SlewedClock {
     from: Instant,
-    slew: Slew,
+    slew: SlewedTime,
     /// Of trials: the file, when it is read again, and what it said.
     off: Option<(PathBuf, f64, f64)>,
 }
@@ -54,16 +54,16 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64())
 }
 
-impl Default for Clock {
+impl Default for SlewedClock {
     fn default() -> Self {
-        Clock { from: Instant::now(), slew: Slew::new(0.0, wall()), off: None }
+        SlewedClock { from: Instant::now(), slew: SlewedTime::new(0.0, wall()), off: None }
     }
 }
 
-impl Clock {
+impl SlewedClock {
     /// For trials: takes the wall clock to be off by as many seconds as that file says, from now on; 0 where it says none.
-    pub fn off_by(file: PathBuf) -> Self {
-        Clock { off: Some((file, 0.0, 0.0)), ..Clock::default() }
+    pub fn with_offset_file(file: PathBuf) -> Self {
+        SlewedClock { off: Some((file, 0.0, 0.0)), ..SlewedClock::default() }
     }
 
     pub fn now(&mut self) -> (f64, Option<f64>) {
@@ -86,14 +86,14 @@
 /// Seconds on a clock that nobody sets and that goes on while a process stands still or its machine is suspended: what
 /// leases are counted by.
 #[derive(Clone, Copy, Debug)]
-pub struct Steady {
+pub struct BootClock {
     rate: f64,
 }
 
-impl Steady {
+impl BootClock {
     /// `rate`: 1, or for trials how fast it is taken to run.
     pub fn new(rate: f64) -> Self {
-        Steady { rate }
+        BootClock { rate }
     }
 
     pub fn now(&self) -> f64 {
--- a/crates/kelpdoor-clock/src/tests.rs
+++ b/crates/kelpdoor-clock/src/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_stepped_wall_clock_moves_the_time_gently_and_never_back() {
-    let mut clock = Slew::new(0.0, 1000.0);
+    let mut clock = SlewedTime::new(0.0, 1000.0);
     assert_eq!(clock.now(1.0, 1001.0), (1001.0, None));
     // Stepped back by 10 s: time goes on, a little slower.
     let (now, stepped) = clock.now(2.0, 992.0);
@@ -16,7 +16,7 @@
 #[test]
 fn a_trial_s_file_steps_the_wall_clock() {
     let file = std::env::temp_dir().join(format!("kelpdoor-clock-{}", std::process::id()));
-    let mut clock = Clock::off_by(file.clone());
+    let mut clock = SlewedClock::with_offset_file(file.clone());
     assert_eq!(clock.now().1, None);
     std::fs::write(&file, "-3600\n").unwrap();
     let stepped = (0..1_000_000_000u64).find_map(|_| clock.now().1).expect("read again in the end");
@@ -26,6 +26,6 @@
 
 #[test]
 fn a_suspended_process_is_no_step() {
-    let mut clock = Slew::new(0.0, 1000.0);
+    let mut clock = SlewedTime::new(0.0, 1000.0);
     assert_eq!(clock.now(10.0, 1010.0), (1010.0, None));
 }
--- a/crates/kelpdoor-director/src/desk.rs
+++ b/crates/kelpdoor-director/src/desk.rs
@@ -202,7 +202,7 @@
         let h = &self.hands;
         let more = !h.round.ended.is_empty() || !h.round.departures.is_empty();
         let seats = h.holder.as_ref().map(Holder::next_timer_at);
-        let due = [h.wake, h.timers.next(), more.then_some(h.now), seats];
+        let due = [h.wake, h.timers.next_timer_at(), more.then_some(h.now), seats];
         due.into_iter().flatten().fold(f64::INFINITY, f64::min)
     }
 
--- a/crates/kelpdoor-director/src/following.rs
+++ b/crates/kelpdoor-director/src/following.rs
@@ -7,7 +7,7 @@
 
 use kelpdoor_agreement::keys::Acted;
 use kelpdoor_agreement::{Chosen, Follower, Rules, VoterId};
-use kelpdoor_clock::Steady;
+use kelpdoor_clock::BootClock;
 use kelpdoor_keeper::{Heard, Lines, addresses};
 use kelpdoor_script::{Agreement, Deployment, Own};
 use serde::{Deserialize, Serialize};
@@ -70,7 +70,7 @@
 /// The part in an agreement of a director, or of whoever goes by what `B` reads of it, at work.
 pub struct Following<B = Deployment> {
     pub(crate) ruling: watch::Receiver<Ruling<B>>,
-    pub(crate) steady: Steady,
+    pub(crate) steady: BootClock,
     pub(crate) wall_off: Option<PathBuf>,
     pub(crate) tasks: JoinSet<()>,
 }
@@ -99,7 +99,7 @@
     where
         R: Rules<Own: Send + Sync> + Send + Sync + 'static,
     {
-        let steady = Steady::new(of.clock_rate);
+        let steady = BootClock::new(of.clock_rate);
         let kept = kept(&of)?;
         let (first, mut waits) = mpsc::channel(1);
         let mut tasks = JoinSet::new();
@@ -125,7 +125,7 @@
 }
 
 async fn follow<B: Clone + Send + Sync + 'static, R: Rules>(
-    of: Agreement, mut follower: Follower<R>, steady: Steady, read: impl Fn(&R) -> (B, bool),
+    of: Agreement, mut follower: Follower<R>, steady: BootClock, read: impl Fn(&R) -> (B, bool),
     first: mpsc::Sender<watch::Receiver<Ruling<B>>>,
 ) {
     let (to, mut words) = mpsc::channel(WORDS);
--- a/crates/kelpdoor-director/src/lib.rs
+++ b/crates/kelpdoor-director/src/lib.rs
@@ -21,7 +21,7 @@
 pub use following::{Following, Ruling, kept};
 pub use gate::{Gate, Pass};
 pub use keeping::{keeper_options, pools};
-pub use kelpdoor_clock::{Clock, Slew};
+pub use kelpdoor_clock::{SlewedClock, SlewedTime};
 pub use roster::{
     FromRoster, MAX_LINE, MAX_NODES, MAX_TITLES, Phase, RosterFault, RosterList, RosterNode, RosterTitle,
     ToRoster,
--- a/crates/kelpdoor-director/src/shell.rs
+++ b/crates/kelpdoor-director/src/shell.rs
@@ -12,9 +12,9 @@
 
 use futures_util::{SinkExt, StreamExt};
 use kelpdoor_api::{ErrorCode, FromPlayer, MAX_MESSAGE, SUBPROTOCOL, ToPlayer};
-use kelpdoor_clock::{Clock, Steady};
+use kelpdoor_clock::{BootClock, SlewedClock};
 use kelpdoor_keeper::RunningKeeper;
-use kelpdoor_parts::{CATCH_UP, stood_still};
+use kelpdoor_parts::{CATCH_UP_TIME, was_paused};
 use kelpdoor_script::Deployment;
 use kelpdoor_seats::KeeperRequest;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -171,7 +171,10 @@
     tasks.spawn(follow(book.clone(), inputs.clone(), asked));
     let shell = Shell {
         book: book.clone(),
-        clock: agreed.as_ref().and_then(|a| a.wall_off.clone()).map_or_else(Clock::default, Clock::off_by),
+        clock: agreed
+            .as_ref()
+            .and_then(|a| a.wall_off.clone())
+            .map_or_else(SlewedClock::default, SlewedClock::with_offset_file),
         inputs: inputs.clone(),
         ask,
         socks: HashMap::new(),
@@ -200,7 +203,7 @@
 /// Rules that others have too: what may be acted on, and what the desk was told of it.
 struct Agreed {
     ruling: watch::Receiver<Ruling>,
-    steady: Steady,
+    steady: BootClock,
     label: String,
     /// Steady time, until when something new may leave.
     lease: f64,
@@ -210,7 +213,7 @@
 
 struct Shell {
     book: Arc<Deployment>,
-    clock: Clock,
+    clock: SlewedClock,
     inputs: mpsc::Sender<Came>,
     ask: mpsc::UnboundedSender<ToRoster>,
     socks: HashMap<u64, Outbox<Out>>,
@@ -292,9 +295,9 @@
                 () = sleep_until(due) => None,
             };
             let gap = last.elapsed();
-            if stood_still(gap, Duration::from_secs_f64(wait)) {
+            if was_paused(gap, Duration::from_secs_f64(wait)) {
                 tracing::warn!(seconds = gap.as_secs_f64(), "stood still; reading what came meanwhile first");
-                sleep(CATCH_UP).await;
+                sleep(CATCH_UP_TIME).await;
             } else if first.is_some() {
                 let rest = (cost * REST).min(REST_RANGE.1).saturating_sub(gap);
                 if rest > REST_RANGE.0 {
@@ -536,7 +539,7 @@
 /// One connection to a node, from connecting to its end.
 async fn talk(
     node: u32, link: u64, address: SocketAddr, mut from: mpsc::UnboundedReceiver<ToNode>,
-    queued: Arc<AtomicUsize>, to: mpsc::Sender<Came>, steady: Option<Steady>,
+    queued: Arc<AtomicUsize>, to: mpsc::Sender<Came>, steady: Option<BootClock>,
 ) {
     let say = |word| to.send((Instant::now(), Input::Node { node, link, word }));
     let stream = match TcpStream::connect(address).await {
--- a/crates/kelpdoor-director/tests/following.rs
+++ b/crates/kelpdoor-director/tests/following.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kelpdoor_agreement::{Ask, Tell, Value, VoterId};
-use kelpdoor_clock::Steady;
+use kelpdoor_clock::BootClock;
 use kelpdoor_director::{Following, Ruling};
 use kelpdoor_keeper::{RunningVoter, VoterOptions, start_voter};
 use kelpdoor_script::Own;
@@ -86,7 +86,7 @@
 
 /// Waits until what may be acted on is as wanted.
 async fn until(following: &mut Following, wanted: impl Fn(&Ruling, f64) -> bool) -> Ruling {
-    let steady = Steady::new(1.0);
+    let steady = BootClock::new(1.0);
     timeout(LONG, async {
         loop {
             let ruling = following.ruling();
--- a/crates/kelpdoor-keeper/src/serve.rs
+++ b/crates/kelpdoor-keeper/src/serve.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use kelpdoor_clock::{Clock, Steady};
+use kelpdoor_clock::{BootClock, SlewedClock};
 use kelpdoor_seats::{DirectorId, KeeperRequest, LeaseTerms, Ledger, School};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -62,7 +62,7 @@
 /// Who tells what is agreed, and what leases are counted by.
 pub struct Agreed {
     pub sold: watch::Receiver<Sold>,
-    pub steady: Steady,
+    pub steady: BootClock,
 }
 
 enum Come {
@@ -112,7 +112,7 @@
 /// # Errors
 /// Where the ledger is not as it was written or the address cannot be bound.
 pub async fn start(options: KeeperOptions) -> io::Result<RunningKeeper> {
-    let mut clock = Clock::default();
+    let mut clock = SlewedClock::default();
     let now = clock.now().0;
     let mut ledger = Ledger::new(options.lease);
     let mut log = None;
@@ -156,7 +156,7 @@
 }
 
 struct Keeper {
-    clock: Clock,
+    clock: SlewedClock,
     ledger: Ledger,
     log: Option<Log>,
     rewrite_at: u64,
--- a/crates/kelpdoor-keeper/src/voter.rs
+++ b/crates/kelpdoor-keeper/src/voter.rs
@@ -12,7 +12,7 @@
 use kelpdoor_agreement::{
     Ask, Durable, MAX_DOCUMENT, MAX_LINE, Out, Reading, Tell, Voter, VoterId, Word, lease_of,
 };
-use kelpdoor_clock::Steady;
+use kelpdoor_clock::BootClock;
 use kelpdoor_script::{Fault, Shared};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -170,7 +170,7 @@
     save(&options.store, durable.clone()).await.map_err(io::Error::other)?;
     let listener = TcpListener::bind(options.listen).await?;
     let address = listener.local_addr()?;
-    let steady = Steady::new(options.clock_rate);
+    let steady = BootClock::new(options.clock_rate);
     let voter = Voter::new(options.me, durable, READING, fastrand::u64(..), steady.now());
     tracing::info!(newest = voter.durable().newest(), votes = voter.durable().votes(), "voting");
     let (to, from) = mpsc::channel(ASKS);
@@ -210,7 +210,7 @@
     me: VoterId,
     fleet: String,
     voter: Voter,
-    steady: Steady,
+    steady: BootClock,
     store: PathBuf,
     first: BTreeMap<u8, SocketAddr>,
     reach: BTreeMap<u8, SocketAddr>,
--- a/crates/kelpdoor-keeper/tests/kept.rs
+++ b/crates/kelpdoor-keeper/tests/kept.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use kelpdoor_clock::Steady;
+use kelpdoor_clock::BootClock;
 use kelpdoor_keeper::{Agreed, Ask, KeeperOptions, Log, RunningKeeper, SchoolStanding, Sold, Tell, start};
 use kelpdoor_seats::{
     Change, DirectorId, Epoch, KeeperRequest, KeeperResponse, LeaseTerms, Ledger, School, TokenId,
@@ -219,7 +219,7 @@
 #[tokio::test]
 async fn agreed_seats_are_given_out_under_a_lease_alone_looked_at_with_each_claim() {
     let dir = tempfile::tempdir().expect("a folder");
-    let steady = Steady::new(1.0);
+    let steady = BootClock::new(1.0);
     let (tell, sold) = watch::channel(Sold::nothing());
     let agreed = Some(Agreed { sold, steady });
     let keeper = keeper_by(&dir.path().join("ledger"), Vec::new(), agreed).await;
--- a/crates/kelpdoor-parts/src/lib.rs
+++ b/crates/kelpdoor-parts/src/lib.rs
@@ -7,16 +7,16 @@
 /// would fire on answers that lie in the sockets.
 const PAUSE: Duration = Duration::from_millis(500);
 /// How long readers get for that.
-pub const CATCH_UP: Duration = Duration::from_millis(20);
+pub const CATCH_UP_TIME: Duration = Duration::from_millis(20);
 
 /// Whether a process that meant to wait for `wait` stood still, as `gap` went by since its last round.
-pub fn stood_still(gap: Duration, wait: Duration) -> bool {
+pub fn was_paused(gap: Duration, wait: Duration) -> bool {
     gap > PAUSE + wait
 }
 
 /// Names a timer that was set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Due(u64, u64);
+pub struct TimerId(u64, u64);
 
 /// Timers of kind `T`. One that is no longer wanted is taken out, or told by what it names having moved on.
 pub struct Timers<T> {
@@ -35,15 +35,15 @@
 }
 
 impl<T> Timers<T> {
-    pub fn set(&mut self, at: f64, timer: T) -> Due {
+    pub fn set(&mut self, at: f64, timer: T) -> TimerId {
         self.count += 1;
-        let due = Due(micros(at), self.count);
+        let due = TimerId(micros(at), self.count);
         self.due.insert((due.0, due.1), timer);
         due
     }
 
     /// Takes a timer out; one that fired or was taken out before is none any more.
-    pub fn unset(&mut self, due: Due) {
+    pub fn cancel(&mut self, due: TimerId) {
         self.due.remove(&(due.0, due.1));
     }
 
@@ -52,7 +52,7 @@
         (first.key().0 <= micros(now)).then(|| first.remove())
     }
 
-    pub fn next(&self) -> Option<f64> {
+    pub fn next_timer_at(&self) -> Option<f64> {
         // A micro later than written, so that it is due when the time comes.
         self.due.first_key_value().map(|((at, _), _)| (*at + 1) as f64 / 1e6)
     }
--- a/crates/kelpdoor-platform/src/exchange.rs
+++ b/crates/kelpdoor-platform/src/exchange.rs
@@ -16,7 +16,7 @@
 use kelpdoor::ids::{GroupId, NodeId, SessId};
 use kelpdoor::round::{Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase, Playing, Reading};
 use kelpdoor::{Director, Orders, Round};
-use kelpdoor_parts::{Due, Timers};
+use kelpdoor_parts::{TimerId, Timers};
 use kelpdoor_rtsp::Message;
 use kelpdoor_terms::{Named, ReportFields};
 
@@ -184,8 +184,8 @@
     sent: f64,
     /// Its viewer gave up.
     left: bool,
-    answer_due: Option<Due>,
-    setup_due: Option<Due>,
+    answer_due: Option<TimerId>,
+    setup_due: Option<TimerId>,
     /// Until it stands.
     ask: Option<Box<Ask>>,
 }
@@ -399,7 +399,7 @@
     pub fn wake_at(&self) -> f64 {
         let h = &self.hands;
         let more = !h.round.ended.is_empty() || !h.round.departures.is_empty();
-        let due = [h.wake, h.timers.next(), Some(h.next_sweep), more.then_some(h.now)];
+        let due = [h.wake, h.timers.next_timer_at(), Some(h.next_sweep), more.then_some(h.now)];
         due.into_iter().flatten().fold(f64::INFINITY, f64::min)
     }
 
@@ -407,7 +407,7 @@
     /// may take a node for over and its SETUPs for lost. Else a round only lets time go by.
     pub fn may_send(&self, now: f64) -> bool {
         let h = &self.hands;
-        h.timers.next().is_some_and(|due| due <= now) || h.open > 0 && h.next_sweep <= now
+        h.timers.next_timer_at().is_some_and(|due| due <= now) || h.open > 0 && h.next_sweep <= now
     }
 
     pub fn counts(&self) -> Counts {
@@ -658,7 +658,7 @@
     fn forget(&mut self, sess: SessId) -> Option<Session> {
         let s = self.sess.remove(&sess)?;
         self.bytes -= s.ask.as_ref().map_or(0, |a| a.blob.len());
-        [s.answer_due, s.setup_due].into_iter().flatten().for_each(|due| self.timers.unset(due));
+        [s.answer_due, s.setup_due].into_iter().flatten().for_each(|due| self.timers.cancel(due));
         Some(s)
     }
 
@@ -781,7 +781,7 @@
         let (node, link, left) = (s.node, s.link, s.left);
         s.stage = Stage::Asked;
         if let Some(due) = s.setup_due.take() {
-            self.timers.unset(due);
+            self.timers.cancel(due);
         }
         if let Some(l) = self.links.get_mut(&link) {
             l.out.remove(&sess);
@@ -1185,7 +1185,7 @@
         let (conn, took, ask) = (s.conn, now - s.sent, s.ask.take());
         let due = [s.answer_due.take(), s.setup_due.take()];
         self.bytes -= ask.map_or(0, |a| a.blob.len());
-        due.into_iter().flatten().for_each(|due| self.timers.unset(due));
+        due.into_iter().flatten().for_each(|due| self.timers.cancel(due));
         if let Some(l) = self.links.get_mut(&link) {
             l.out.remove(&sess);
         }
--- a/crates/kelpdoor-platform/src/shell.rs
+++ b/crates/kelpdoor-platform/src/shell.rs
@@ -16,8 +16,8 @@
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
-use kelpdoor_clock::Clock;
-use kelpdoor_parts::{CATCH_UP, stood_still};
+use kelpdoor_clock::SlewedClock;
+use kelpdoor_parts::{CATCH_UP_TIME, was_paused};
 use kelpdoor_rtsp::{Message, Version, parse_as};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -531,7 +531,7 @@
 
 struct Shell {
     exchange: Exchange,
-    clock: Clock,
+    clock: SlewedClock,
     viewers: Pipes,
     links: HashMap<u64, Rc<Pipe>>,
     connect: Duration,
@@ -745,7 +745,7 @@
             };
             let mut batch: Vec<Came> = first.into_iter().collect();
             let gap = last.elapsed();
-            if stood_still(gap, Duration::from_secs_f64(wait)) {
+            if was_paused(gap, Duration::from_secs_f64(wait)) {
                 tracing::warn!(seconds = gap.as_secs_f64(), "stood still; reading what came meanwhile first");
                 self.catch_up(&mut input, std::mem::take(&mut batch)).await;
             }
@@ -772,7 +772,7 @@
 
     /// Takes what lies in the sockets after a pause of the process, before any time-out fires on it.
     async fn catch_up(&mut self, input: &mut mpsc::Receiver<Came>, mut first: Vec<Came>) {
-        let until = Instant::now() + CATCH_UP;
+        let until = Instant::now() + CATCH_UP_TIME;
         loop {
             self.look(input, &mut first).await;
             let now = self.now();
@@ -789,7 +789,7 @@
     let listener = TcpListener::bind(start.listen).await?;
     let signals =
         [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?, signal(SignalKind::hangup())?];
-    let mut clock = Clock::default();
+    let mut clock = SlewedClock::default();
     let (now, _) = clock.now();
     let exchange = Exchange::new(&start, now);
     let (to, input) = mpsc::channel(INPUTS);
--- a/crates/kelpdoord/src/lib.rs
+++ b/crates/kelpdoord/src/lib.rs
@@ -13,7 +13,7 @@
 use anyhow::{Context, Result, bail};
 use clap::{Parser, Subcommand, ValueEnum};
 use kelpdoor_agreement::VoterId;
-use kelpdoor_clock::Steady;
+use kelpdoor_clock::BootClock;
 use kelpdoor_director::{Following, ServeOptions, journal, keeper_options, serve};
 use kelpdoor_keeper::{Agreed, Ask, RunningVoter, Sold, Tell, VoterOptions, start_voter};
 use kelpdoor_platform::{Start, StartFault};
@@ -224,7 +224,7 @@
     let follows = book.agreement.is_some();
     let mut following = JoinSet::new();
     if let Some(own) = book.agreement {
-        let steady = Steady::new(own.clock_rate);
+        let steady = BootClock::new(own.clock_rate);
         let (tell, sold) = watch::channel(Sold::nothing());
         following.spawn(agreed::follow_schools(own, tell));
         options.agreed = Some(Agreed { sold, steady });
