--- a/crates/kelpdoor-seats/tests/simulated.rs
+++ b/crates/kelpdoor-seats/tests/simulated.rs
@@ -8,8 +8,13 @@
 use kelpdoor_seats::*;
 
 const LEASE: LeaseTerms = LeaseTerms { duration: 20.0, clock_error: 2.5 };
-const PATIENCE: HolderTimeouts =
-    HolderTimeouts { claim_timeout: 0.3, heartbeat_interval: 3.0, resend: (0.4, 4.0), seats_ahead: 2 };
+const PATIENCE: HolderTimeouts = HolderTimeouts {
+    claim_timeout: 0.3,
+    heartbeat_interval: 3.0,
+    resend_min: 0.4,
+    resend_max: 4.0,
+    seats_ahead: 2,
+};
 const DIRECTORS: u32 = 3;
 
 #[derive(Clone, Debug)]
--- a/crates/kelpdoor-seats/tests/table.rs
+++ b/crates/kelpdoor-seats/tests/table.rs
@@ -5,8 +5,13 @@
 use kelpdoor_seats::*;
 
 const LEASE: LeaseTerms = LeaseTerms { duration: 20.0, clock_error: 2.5 };
-const PATIENCE: HolderTimeouts =
-    HolderTimeouts { claim_timeout: 0.3, heartbeat_interval: 3.0, resend: (0.4, 4.0), seats_ahead: 0 };
+const PATIENCE: HolderTimeouts = HolderTimeouts {
+    claim_timeout: 0.3,
+    heartbeat_interval: 3.0,
+    resend_min: 0.4,
+    resend_max: 4.0,
+    seats_ahead: 0,
+};
 
 fn school() -> School {
     School("olaf".into())
