--- a/crates/kelpdoor-agreement/src/lib.rs
+++ b/crates/kelpdoor-agreement/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use delta::{Delta, Edit};
 pub use follower::{Acting, Follower, RENEWALS, Rules, Span};
-pub use voter::{Durable, NAMES, Out, Voter};
+pub use voter::{Durable, NAMES, Output, Voter};
 pub use words::{
     Ask, Ballot, Chosen, DirectorStanding, LOG, MAX_DOCUMENT, MAX_LINE, Reading, Tell, Value, VoterId, Wants,
     Word,
--- a/crates/kelpdoor-agreement/src/voter.rs
+++ b/crates/kelpdoor-agreement/src/voter.rs
@@ -101,12 +101,12 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    To(VoterId, Word),
+pub enum Output {
+    Message(VoterId, Word),
     /// To every other voter that is known of, whether it is on the list or not.
-    Others(Word),
+    Broadcast(Word),
     /// To whoever asked under that number.
-    Tell(u64, Tell),
+    Response(u64, Tell),
 }
 
 /// A proposal that a client waits for.
@@ -176,7 +176,7 @@
     learned: VecDeque<f64>,
     reading: Reading,
     rng: Rng,
-    out: Vec<Out>,
+    out: Vec<Output>,
 }
 
 impl Voter {
@@ -235,7 +235,7 @@
     }
 
     /// What is to be done: what has to be durable first, if anything changed, and the words that rest on it.
-    pub fn take_out(&mut self) -> (Option<Durable>, Vec<Out>) {
+    pub fn take_output(&mut self) -> (Option<Durable>, Vec<Output>) {
         let write = std::mem::take(&mut self.dirty).then(|| self.durable.clone());
         (write, std::mem::take(&mut self.out))
     }
@@ -262,12 +262,12 @@
 
     fn say_to_deciding(&mut self, word: &Word) {
         for to in self.deciding.iter().filter(|v| **v != self.me) {
-            self.out.push(Out::To(*to, word.clone()));
+            self.out.push(Output::Message(*to, word.clone()));
         }
     }
 
     fn tell(&mut self, client: u64, tell: Tell) {
-        self.out.push(Out::Tell(client, tell));
+        self.out.push(Output::Response(client, tell));
     }
 
     // Proposing.
@@ -336,7 +336,7 @@
         }
         let Some(Value { id, text }) = t.value.clone() else { return };
         let word = Word::Learn { number, id, text };
-        self.out.push(Out::Others(word.clone()));
+        self.out.push(Output::Broadcast(word.clone()));
         self.hear(now, self.me, word);
     }
 
@@ -409,7 +409,7 @@
         }
         let mut answer = |word| {
             if from != self.me {
-                self.out.push(Out::To(from, word));
+                self.out.push(Output::Message(from, word));
             }
         };
         match word {
@@ -659,7 +659,7 @@
         if now >= self.wanted_at + self.want_every() {
             self.wanted_at = now;
             let (have, ready) = (self.durable.newest(), self.durable.votes_from.is_some());
-            self.out.push(Out::Others(Word::Want { start: self.start, have, ready }));
+            self.out.push(Output::Broadcast(Word::Want { start: self.start, have, ready }));
         }
         self.names.retain(|_, k| now - k.heard < LISTED);
     }
--- a/crates/kelpdoor-agreement/tests/chained.rs
+++ b/crates/kelpdoor-agreement/tests/chained.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use kelpdoor_agreement::{Ask, Chosen, Durable, Follower, Out, Tell, Value, Voter, VoterId, Word};
+use kelpdoor_agreement::{Ask, Chosen, Durable, Follower, Output, Tell, Value, Voter, VoterId, Word};
 use texts::{READING, Texts};
 
 const DECIDES: VoterId = VoterId(0);
@@ -81,8 +81,8 @@
         let ask = self.directors[d].ask(now, voter)?;
         let v = &mut self.voters[usize::from(voter.0)];
         v.ask(now, d as u64, ask);
-        v.take_out().1.into_iter().find_map(|o| match o {
-            Out::Tell(_, tell) => Some(tell),
+        v.take_output().1.into_iter().find_map(|o| match o {
+            Output::Response(_, tell) => Some(tell),
             _ => None,
         })
     }
@@ -105,14 +105,14 @@
                 s.chosen += 1;
                 let value = Value { id: s.chosen, text: text(s.chosen) };
                 s.voters[0].ask(s.now(), 9, Ask::Propose { after: s.chosen - 1, value, sure: false });
-                s.voters[0].take_out();
+                s.voters[0].take_output();
             });
         }
         if self.voters[1].durable().newest() < self.chosen {
             event(&mut |s| {
                 let (number, id, text) = (s.chosen, s.chosen, text(s.chosen));
                 s.voters[1].hear(s.now(), DECIDES, Word::Learn { number, id, text });
-                s.voters[1].take_out();
+                s.voters[1].take_output();
             });
         }
         for d in 0..2 {
--- a/crates/kelpdoor-agreement/tests/chains.rs
+++ b/crates/kelpdoor-agreement/tests/chains.rs
@@ -7,7 +7,7 @@
 use expect_test::expect;
 use fastrand::Rng;
 use kelpdoor_agreement::{
-    Ask, Chosen, Delta, Durable, Edit, Follower, LOG, MAX_DOCUMENT, Out, RATE_ERROR, Tell, Value, Voter,
+    Ask, Chosen, Delta, Durable, Edit, Follower, LOG, MAX_DOCUMENT, Output, RATE_ERROR, Tell, Value, Voter,
     VoterId, Wants, Word, lease_of,
 };
 use texts::{READING, Texts};
@@ -197,7 +197,7 @@
     let mut disk = v.durable().clone();
     for number in numbers {
         v.hear(0.0, VoterId(1), Word::Learn { number, id: number, text: text(number) });
-        disk = v.take_out().0.unwrap_or(disk);
+        disk = v.take_output().0.unwrap_or(disk);
     }
     (v, disk)
 }
@@ -214,8 +214,8 @@
         wants,
     };
     v.ask(5.0, 1, renew);
-    match v.take_out().1.pop() {
-        Some(Out::Tell(_, Tell::Granted { document, chain, .. })) => {
+    match v.take_output().1.pop() {
+        Some(Output::Response(_, Tell::Granted { document, chain, .. })) => {
             (document.map(|c| c.number), chain.iter().map(|d| d.number).collect())
         }
         other => panic!("{other:?}"),
@@ -247,17 +247,17 @@
     let (mut v, _) = learned(1..=30, text);
     let mut changes = |now: f64| {
         v.ask(now, 1, Ask::Standing);
-        match v.take_out().1.pop() {
-            Some(Out::Tell(_, Tell::Standing { changes, .. })) => changes,
+        match v.take_output().1.pop() {
+            Some(Output::Response(_, Tell::Standing { changes, .. })) => changes,
             other => panic!("{other:?}"),
         }
     };
     assert_eq!([changes(0.0), changes(10.0), changes(60.0), changes(60.5)], [30.0, 3.0, 0.5, 0.0]);
     let (mut fast, _) = learned(1..=1000, text);
     fast.ask(20.0, 1, Ask::Standing);
-    let told = fast.take_out().1.pop();
+    let told = fast.take_output().1.pop();
     assert!(
-        matches!(told, Some(Out::Tell(_, Tell::Standing { changes, .. })) if changes == LOG.0 as f64 / 20.0)
+        matches!(told, Some(Output::Response(_, Tell::Standing { changes, .. })) if changes == LOG.0 as f64 / 20.0)
     );
 }
 
--- a/crates/kelpdoor-agreement/tests/exhaustive.rs
+++ b/crates/kelpdoor-agreement/tests/exhaustive.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use kelpdoor_agreement::{Ask, Ballot, Chosen, Durable, Out, Value, Voter, VoterId, Word};
+use kelpdoor_agreement::{Ask, Ballot, Chosen, Durable, Output, Value, Voter, VoterId, Word};
 use texts::READING;
 
 const FOUNDERS: [VoterId; 3] = [VoterId(0), VoterId(1), VoterId(2)];
@@ -42,13 +42,13 @@
 
     /// Takes out what a voter has to say; `lost`: it dies between its write and its words.
     fn flush(&mut self, k: usize, lost: bool) {
-        let (_, out) = self.voters[k].take_out();
+        let (_, out) = self.voters[k].take_output();
         if let Some((ballot, value)) = &self.voters[k].durable().accepted {
             self.accepted.entry((*ballot, value.id)).or_default().insert(VoterId(k as u8));
         }
         for o in out {
             // What is chosen is judged by who accepted: word of it would multiply the states.
-            if let Out::To(to, word) = o
+            if let Output::Message(to, word) = o
                 && !lost
                 && !matches!(word, Word::Learn { .. })
             {
@@ -177,7 +177,7 @@
     }
 
     fn flush(&mut self, k: usize) {
-        let (_, out) = self.voters[k].take_out();
+        let (_, out) = self.voters[k].take_output();
         let (d, me) = (self.voters[k].durable(), VoterId(k as u8));
         if let Some((ballot, value)) = &d.accepted {
             self.accepted.entry((d.newest() + 1, *ballot, value.id)).or_default().insert(me);
@@ -185,9 +185,11 @@
         for o in out {
             match o {
                 // The words of who looks whether it lacks anything: none does here that is not told otherwise.
-                Out::To(_, Word::Want { .. }) | Out::Others(Word::Want { .. }) | Out::Tell(..) => {}
-                Out::To(to, word) => self.put(me, to, word),
-                Out::Others(word) => {
+                Output::Message(_, Word::Want { .. })
+                | Output::Broadcast(Word::Want { .. })
+                | Output::Response(..) => {}
+                Output::Message(to, word) => self.put(me, to, word),
+                Output::Broadcast(word) => {
                     let others = (0..self.voters.len() as u8).map(VoterId).filter(|v| *v != me);
                     others.for_each(|to| self.put(me, to, word.clone()));
                 }
--- a/crates/kelpdoor-agreement/tests/simulated.rs
+++ b/crates/kelpdoor-agreement/tests/simulated.rs
@@ -6,7 +6,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use fastrand::Rng;
-use kelpdoor_agreement::{Ask, Chosen, Durable, Follower, Out, Tell, Value, Voter, VoterId, Word, lease_of};
+use kelpdoor_agreement::{
+    Ask, Chosen, Durable, Follower, Output, Tell, Value, Voter, VoterId, Word, lease_of,
+};
 use texts::{READING, Texts};
 
 /// s; what documents here state where nothing else is said.
@@ -169,13 +171,13 @@
     }
 
     fn flush(&mut self, k: usize) {
-        let (write, out) = self.voters[k].take_out();
+        let (write, out) = self.voters[k].take_output();
         if let Some(durable) = write {
             self.disks[k] = durable;
         }
         for o in &out {
             // Nothing is told of a version that a restart would not know of.
-            if let Out::Tell(_, Tell::Granted { chain, .. }) = o
+            if let Output::Response(_, Tell::Granted { chain, .. }) = o
                 && let Some(d) = chain.iter().find(|d| !self.disks[k].log.contains(d))
             {
                 self.wrong.push(format!(
@@ -192,19 +194,19 @@
         for o in out {
             match o {
                 _ if lost => {}
-                Out::To(to, word) => self.say(k, usize::from(to.0), word),
-                Out::Others(word) => {
+                Output::Message(to, word) => self.say(k, usize::from(to.0), word),
+                Output::Broadcast(word) => {
                     for to in (0..self.voters.len()).filter(|to| *to != k) {
                         self.say(k, to, word.clone());
                     }
                 }
-                Out::Tell(client, tell) if client < 1000 => {
+                Output::Response(client, tell) if client < 1000 => {
                     let f = client as usize;
                     let site = self.voters.len() + f;
                     let event = Event::Told(f, self.sites[site].life, k, tell);
                     self.carry(k, site, event);
                 }
-                Out::Tell(id, tell) => {
+                Output::Response(id, tell) => {
                     let value = Value { id, text: String::new() };
                     self.at(self.t, Event::Outcome(value, tell));
                 }
--- a/crates/kelpdoor-agreement/tests/table.rs
+++ b/crates/kelpdoor-agreement/tests/table.rs
@@ -5,7 +5,7 @@
 use expect_test::expect;
 use kelpdoor_agreement::keys::{Class, both, may_follow, numbering};
 use kelpdoor_agreement::{
-    Ask, Ballot, Chosen, Durable, Follower, Out, Tell, Value, Voter, VoterId, Wants, Word,
+    Ask, Ballot, Chosen, Durable, Follower, Output, Tell, Value, Voter, VoterId, Wants, Word,
 };
 use kelpdoor_script::Shared;
 use texts::{READING, Texts};
@@ -26,16 +26,16 @@
     loop {
         let mut net = Vec::new();
         for (k, v) in voters.iter_mut().enumerate() {
-            for o in v.take_out().1 {
+            for o in v.take_output().1 {
                 match o {
-                    Out::Others(word) => {
+                    Output::Broadcast(word) => {
                         let all = (0..count as u8).filter(|to| *to != k as u8);
                         let all = all.filter(|to| !cut(k as u8, *to, &word));
                         net.extend(all.map(|to| (k as u8, VoterId(to), word.clone())));
                     }
-                    Out::To(to, word) if !cut(k as u8, to.0, &word) => net.push((k as u8, to, word)),
-                    Out::To(..) => {}
-                    Out::Tell(_, tell) => told.push(tell),
+                    Output::Message(to, word) if !cut(k as u8, to.0, &word) => net.push((k as u8, to, word)),
+                    Output::Message(..) => {}
+                    Output::Response(_, tell) => told.push(tell),
                 }
             }
         }
@@ -173,12 +173,12 @@
     v[2] = Voter::new(VoterId(2), Durable::lost("f"), READING, 5, 0.0);
     v[2].tick(0.0);
     let mut late = Vec::new();
-    for (_, out) in [v[2].take_out()] {
+    for (_, out) in [v[2].take_output()] {
         for o in out {
-            let Out::Others(word) = o else { continue };
+            let Output::Broadcast(word) = o else { continue };
             for to in [VoterId(0), VoterId(1)] {
                 v[usize::from(to.0)].hear(0.0, VoterId(2), word.clone());
-                late.extend(v[usize::from(to.0)].take_out().1.into_iter().map(|o| (to, o)));
+                late.extend(v[usize::from(to.0)].take_output().1.into_iter().map(|o| (to, o)));
             }
         }
     }
@@ -186,7 +186,7 @@
     // Then it came back, voted for version 2, and lost its disk.
     v[2] = Voter::new(VoterId(2), Durable::lost("f"), READING, 6, 0.0);
     for (from, o) in late {
-        if let Out::To(_, word) = o {
+        if let Output::Message(_, word) = o {
             v[2].hear(0.0, from, word);
         }
     }
@@ -323,21 +323,24 @@
 fn who_is_not_on_the_list_neither_counts_nor_votes() {
     let mut v = and_one_to_join();
     list(&mut v, 0, 1, 8, "0 1 2");
-    let out = v[0].take_out().1;
-    let Some(Out::To(_, Word::Prepare { number, ballot })) = out.first() else { panic!("{out:?}") };
+    let out = v[0].take_output().1;
+    let Some(Output::Message(_, Word::Prepare { number, ballot })) = out.first() else { panic!("{out:?}") };
     let (number, ballot) = (*number, *ballot);
     v[0].hear(1.0, VoterId(3), Word::Promise { number, ballot, accepted: None });
-    assert_eq!(v[0].take_out().1, [], "no majority with 3");
+    assert_eq!(v[0].take_output().1, [], "no majority with 3");
     v[0].hear(1.0, VoterId(1), Word::Promise { number, ballot, accepted: None });
-    assert!(matches!(v[0].take_out().1[..], [Out::To(_, Word::Accept { .. }), Out::To(..)]));
+    assert!(matches!(
+        v[0].take_output().1[..],
+        [Output::Message(_, Word::Accept { .. }), Output::Message(..)]
+    ));
     v[0].hear(1.0, VoterId(3), Word::Accepted { number, ballot });
     assert_eq!(v[0].durable().newest(), 1);
     // It could vote for version 3 if it were named.
     v[3].hear(1.0, VoterId(0), Word::Learn { number: 2, id: 8, text: "text 8 by 0 1 2".into() });
-    v[3].take_out();
+    v[3].take_output();
     assert!(v[3].durable().votes() && !v[3].listed());
     v[3].hear(1.0, VoterId(0), Word::Prepare { number: 3, ballot });
-    assert_eq!(v[3].take_out().1, [], "3 promises nothing");
+    assert_eq!(v[3].take_output().1, [], "3 promises nothing");
 }
 
 #[test]
@@ -369,9 +372,9 @@
             1,
             Ask::Renew { name, boot, seq: 1, have: 0, lease: 1.0, left, acts, wants: Wants::Document },
         );
-        match v[0].take_out().1.remove(0) {
-            Out::Tell(_, Tell::Refused { why, .. }) => why,
-            Out::Tell(_, Tell::Granted { .. }) => "granted".to_owned(),
+        match v[0].take_output().1.remove(0) {
+            Output::Response(_, Tell::Refused { why, .. }) => why,
+            Output::Response(_, Tell::Granted { .. }) => "granted".to_owned(),
             other => format!("{other:?}"),
         }
     };
@@ -403,7 +406,7 @@
             1,
             Ask::Renew { name, boot: 1, seq: 1, have: 1, lease: 1.0, left, acts, wants: Wants::Document },
         );
-        matches!(voter.take_out().1[..], [Out::Tell(_, Tell::Granted { .. })])
+        matches!(voter.take_output().1[..], [Output::Response(_, Tell::Granted { .. })])
     };
     assert!(!ask(100.5, "new", 0.0) && ask(100.5, "goes on", 0.3) && ask(101.1, "new", 0.0));
 }
--- a/crates/kelpdoor-keeper/src/voter.rs
+++ b/crates/kelpdoor-keeper/src/voter.rs
@@ -10,7 +10,7 @@
 
 use kelpdoor_agreement::keys::may_follow;
 use kelpdoor_agreement::{
-    Ask, Durable, MAX_DOCUMENT, MAX_LINE, Out, Reading, Tell, Voter, VoterId, Word, lease_of,
+    Ask, Durable, MAX_DOCUMENT, MAX_LINE, Output, Reading, Tell, Voter, VoterId, Word, lease_of,
 };
 use kelpdoor_clock::Steady;
 use kelpdoor_script::{Fault, Shared};
@@ -267,7 +267,7 @@
                 let Ok(next) = from.try_recv() else { break };
                 end |= self.come(now, next);
             }
-            let (write, out) = self.voter.take_out();
+            let (write, out) = self.voter.take_output();
             if let Some(durable) = write {
                 save(&self.store, durable).await?;
             }
@@ -286,7 +286,7 @@
         self.peers.dial(all);
     }
 
-    fn say(&mut self, out: Vec<Out>) {
+    fn say(&mut self, out: Vec<Output>) {
         if let Some((number, digest)) =
             self.voter.newest().filter(|c| c.number > self.told).map(|c| (c.number, c.digest()))
         {
@@ -304,17 +304,19 @@
         let from = self.me;
         for o in out {
             match o {
-                Out::To(to, word) if self.peers.has(to) => self.peers.ask(to, Ask::Voter { from, word }),
-                Out::To(to, word) => {
+                Output::Message(to, word) if self.peers.has(to) => {
+                    self.peers.ask(to, Ask::Voter { from, word })
+                }
+                Output::Message(to, word) => {
                     if let Some(conn) = self.asked_on.get(&to).copied() {
                         self.tell(conn, Tell::Voter { word });
                     }
                 }
-                Out::Others(word) => {
+                Output::Broadcast(word) => {
                     let all = self.peers.voters();
                     all.for_each(|to| self.peers.ask(to, Ask::Voter { from, word: word.clone() }));
                 }
-                Out::Tell(conn, tell) => self.tell(conn, tell),
+                Output::Response(conn, tell) => self.tell(conn, tell),
             }
         }
     }
--- a/crates/kelpdoor-lab/src/scale/simulate.rs
+++ b/crates/kelpdoor-lab/src/scale/simulate.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use fastrand::Rng;
-use kelpdoor_agreement::{Ask, Durable, Out, Tell, Value, Voter, VoterId, Word};
+use kelpdoor_agreement::{Ask, Durable, Output, Tell, Value, Voter, VoterId, Word};
 
 use super::follow::{self, Board, FIRST_LINE, Follower};
 
@@ -309,27 +309,27 @@
     }
 
     fn flush(&mut self, k: usize) {
-        let (write, out) = self.voters[k].take_out();
+        let (write, out) = self.voters[k].take_output();
         if write.is_some() {
             self.busy[k] = self.t + WRITE.0 + (WRITE.1 - WRITE.0) * self.rng.f64();
         }
         let sent = self.busy[k].max(self.t);
         for o in out {
             match o {
-                Out::To(to, word) => {
+                Output::Message(to, word) => {
                     let to = usize::from(to.0);
                     self.carry(sent, k, to, Event::Word(to, VoterId(k as u8), word));
                 }
-                Out::Others(word) => {
+                Output::Broadcast(word) => {
                     for to in (0..self.voters.len()).filter(|to| *to != k) {
                         self.carry(sent, k, to, Event::Word(to, VoterId(k as u8), word.clone()));
                     }
                 }
-                Out::Tell(client, tell) if client < OPERATORS => {
+                Output::Response(client, tell) if client < OPERATORS => {
                     let f = client as usize;
                     self.carry(sent, k, self.plan.voters + f, Event::Told(f, k, tell));
                 }
-                Out::Tell(client, tell) => {
+                Output::Response(client, tell) => {
                     let late = LATE.0 + (LATE.1 - LATE.0) * self.rng.f64();
                     self.at(sent + late, Event::Outcome(client - OPERATORS, tell));
                 }
@@ -602,7 +602,7 @@
     for v in &mut sim.voters {
         let word = Word::Learn { number: 1, id: 1, text: text.clone() };
         v.hear(0.0, ids[0], word);
-        v.take_out();
+        v.take_output();
     }
     while now < 2.0 * lease + seconds {
         let began = Instant::now();
@@ -611,8 +611,8 @@
         for (id, ask) in asks {
             let voter = &mut sim.voters[usize::from(id.0)];
             voter.ask(now, 1, ask);
-            for out in voter.take_out().1 {
-                if let Out::Tell(_, tell) = out {
+            for out in voter.take_output().1 {
+                if let Output::Response(_, tell) = out {
                     let began = Instant::now();
                     // An answer that does not count costs the same.
                     let _ = follower.heard(now, id, tell);
