--- a/crates/kelpdoor-agreement/src/delta.rs
+++ b/crates/kelpdoor-agreement/src/delta.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use similar::{Algorithm, DiffOp, capture_diff_slices};
 
-use crate::words::{Chosen, MAX_DOCUMENT, MOST, Value};
+use crate::messages::{Chosen, MAX_DOCUMENT, MAX_VERSION, Value};
 
 /// Edits of a delta at most; a change of more is one edit from its first to its last.
 const EDITS: usize = 1024;
@@ -62,7 +62,7 @@
     /// than a document may have, another digest in the end.
     pub fn apply(&self, base: &Chosen, digest: &str) -> Result<Chosen, String> {
         let number = self.number;
-        if number > MOST || base.number.checked_add(1) != Some(number) {
+        if number > MAX_VERSION || base.number.checked_add(1) != Some(number) {
             return Err(format!("a delta makes version {number}, version {} is known", base.number));
         }
         if self.base != digest {
--- a/crates/kelpdoor-agreement/src/follower.rs
+++ b/crates/kelpdoor-agreement/src/follower.rs
@@ -7,7 +7,9 @@
 
 use crate::RATE_ERROR;
 use crate::delta::Delta;
-use crate::words::{Ask, Chosen, LOG, MOST, Tell, VoterId, Wants};
+use crate::messages::{
+    CatchUp, Chosen, ClientRequest, MAX_LOG_VERSIONS, MAX_VERSION, VoterId, VoterResponse,
+};
 
 /// Renewals within a lease: three may be lost.
 pub const RENEWALS: f64 = 4.0;
@@ -255,7 +257,7 @@
     }
 
     /// The question to that voter, if one is due.
-    pub fn ask(&mut self, now: f64, voter: VoterId) -> Option<Ask> {
+    pub fn ask(&mut self, now: f64, voter: VoterId) -> Option<ClientRequest> {
         let (lease, left) = (self.lease, (self.until - now).max(0.0));
         let acts = self.acting(now).map(|a| a.label()).unwrap_or_default();
         let line = self.lines.entry(voter).or_default();
@@ -269,12 +271,21 @@
         line.out = Some((seq, now));
         line.asked = Some(now);
         let wants = match (line.misled, left > 0.0) {
-            (true, _) => Wants::Document,
-            (false, true) => Wants::Chain,
-            (false, false) => Wants::Either,
+            (true, _) => CatchUp::Document,
+            (false, true) => CatchUp::Chain,
+            (false, false) => CatchUp::Either,
         };
         let have = self.number();
-        Some(Ask::Renew { name: self.name.clone(), boot: self.boot, seq, have, lease, left, acts, wants })
+        Some(ClientRequest::Renew {
+            name: self.name.clone(),
+            boot: self.boot,
+            seq,
+            have,
+            lease,
+            left,
+            acts,
+            wants,
+        })
     }
 
     /// When a question is due.
@@ -301,14 +312,14 @@
     ///
     /// # Errors
     /// A plain sentence; nothing of the answer counts then.
-    pub fn heard(&mut self, now: f64, from: VoterId, tell: Tell) -> Result<(), String> {
+    pub fn heard(&mut self, now: f64, from: VoterId, tell: VoterResponse) -> Result<(), String> {
         let voter = from.0;
         let Some(line) = self.lines.get_mut(&from) else { return Ok(()) };
         let (seq, newest, pending, document, chain) = match tell {
-            Tell::Granted { seq, newest, pending, document, chain } => {
+            VoterResponse::Granted { seq, newest, pending, document, chain } => {
                 (seq, newest, pending, document, chain)
             }
-            Tell::Refused { seq, why } => {
+            VoterResponse::Refused { seq, why } => {
                 if line.out.is_some_and(|(out, _)| out == seq) {
                     line.out = None;
                 }
@@ -319,7 +330,7 @@
         let Some((_, asked)) = line.out.filter(|(out, _)| *out == seq) else { return Ok(()) };
         line.out = None;
         line.misled = false;
-        if newest.max(document.as_ref().map_or(0, |c| c.number)) > MOST {
+        if newest.max(document.as_ref().map_or(0, |c| c.number)) > MAX_VERSION {
             return Err(format!("voter {voter} tells of version {newest}, which none comes to"));
         }
         match self.made(chain) {
@@ -374,8 +385,8 @@
     /// # Errors
     /// Why the chain does not join, by the first version that does not; none of it is taken then.
     fn made(&mut self, chain: Vec<Delta>) -> Result<Vec<Read<R>>, String> {
-        if chain.len() > LOG.0 {
-            return Err(format!("a chain of {} versions, {} at most", chain.len(), LOG.0));
+        if chain.len() > MAX_LOG_VERSIONS {
+            return Err(format!("a chain of {} versions, {} at most", chain.len(), MAX_LOG_VERSIONS));
         }
         let mut made: Vec<Read<R>> = Vec::new();
         let known = self.number();
--- a/crates/kelpdoor-agreement/src/keys.rs
+++ b/crates/kelpdoor-agreement/src/keys.rs
@@ -13,7 +13,7 @@
 
 use crate::follower::Rules;
 use crate::lease_of;
-use crate::words::VoterId;
+use crate::messages::VoterId;
 
 /// What becomes of a key while both versions may be acted on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/kelpdoor-agreement/src/lib.rs
+++ b/crates/kelpdoor-agreement/src/lib.rs
@@ -12,16 +12,16 @@
 mod delta;
 mod follower;
 pub mod keys;
+mod messages;
 mod voter;
-mod words;
 
 pub use delta::{Delta, Edit};
 pub use follower::{Acting, Follower, RENEWALS, Rules, Span};
-pub use voter::{Durable, NAMES, Output, Voter};
-pub use words::{
-    Ask, Ballot, Chosen, DirectorStanding, LOG, MAX_DOCUMENT, MAX_LINE, Reading, Tell, Value, VoterId, Wants,
-    Word,
+pub use messages::{
+    Ballot, CatchUp, Chosen, ClientRequest, DirectorStatus, DocumentReader, MAX_DOCUMENT, MAX_LINE,
+    MAX_LOG_BYTES, MAX_LOG_VERSIONS, Value, VoterId, VoterMessage, VoterResponse,
 };
+pub use voter::{Durable, NAMES, Output, Voter};
 
 /// Of time; how far apart two steady clocks may run, the slewing of a director's time included. Clocks of machines keep
 /// to 0.0002 of their rate when undisturbed; fifty times that.
--- a/crates/kelpdoor-agreement/src/words.rs
+++ b/crates/kelpdoor-agreement/src/messages.rs
@@ -12,7 +12,9 @@
 
 /// Versions, and bytes of what they change, that a voter keeps to tell directors of at most: a director under the longest
 /// lease lacks 60 at 5.8 a second; over it one waits a lease. Escaped it still is within a line.
-pub const LOG: (usize, usize) = (256, 2 * MAX_DOCUMENT);
+pub const MAX_LOG_VERSIONS: usize = 256;
+/// Bytes of the edits that a voter stores in its log at most.
+pub const MAX_LOG_BYTES: usize = 2 * MAX_DOCUMENT;
 
 /// A voter's number. No other voter gets it, ever; its address may change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -20,7 +22,7 @@
 
 /// How a document is read, as far as voters and leases go.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct DocumentReader {
     /// s; the lease that it grants.
     pub lease: fn(&str) -> f64,
     /// Who decides the version after it.
@@ -62,22 +64,22 @@
 }
 
 /// Versions and rounds are counted up to here: more than any fleet comes to, and far from where a sum would not hold.
-pub const MOST: u64 = 1 << 53;
+pub const MAX_VERSION: u64 = 1 << 53;
 
-impl Word {
+impl VoterMessage {
     /// Whether its numbers are such as a voter may come to.
     pub(crate) fn plausible(&self) -> bool {
-        let round = |b: &Ballot| b.round <= MOST;
+        let round = |b: &Ballot| b.round <= MAX_VERSION;
         match self {
-            Word::Prepare { number, ballot }
-            | Word::Accept { number, ballot, .. }
-            | Word::Accepted { number, ballot }
-            | Word::Refuse { number, promised: ballot } => *number <= MOST && round(ballot),
-            Word::Promise { number, ballot, accepted } => {
-                *number <= MOST && round(ballot) && accepted.as_ref().is_none_or(|(b, ..)| round(b))
+            VoterMessage::Prepare { number, ballot }
+            | VoterMessage::Accept { number, ballot, .. }
+            | VoterMessage::Accepted { number, ballot }
+            | VoterMessage::Refuse { number, promised: ballot } => *number <= MAX_VERSION && round(ballot),
+            VoterMessage::Promise { number, ballot, accepted } => {
+                *number <= MAX_VERSION && round(ballot) && accepted.as_ref().is_none_or(|(b, ..)| round(b))
             }
-            Word::Learn { number, .. } | Word::Have { number, .. } => *number <= MOST,
-            Word::Behind { have } | Word::Want { have, .. } => *have <= MOST,
+            VoterMessage::Learn { number, .. } | VoterMessage::Have { number, .. } => *number <= MAX_VERSION,
+            VoterMessage::Behind { have } | VoterMessage::Want { have, .. } => *have <= MAX_VERSION,
         }
     }
 }
@@ -85,7 +87,7 @@
 /// Between voters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum VoterMessage {
     Prepare {
         number: u64,
         ballot: Ballot,
@@ -139,7 +141,7 @@
 /// From a director or an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ask {
+pub enum ClientRequest {
     /// First on each connection; answered with `Welcome`.
     Hello {
         fleet: String,
@@ -161,8 +163,8 @@
         /// What it acts on, for operators.
         acts: String,
         /// How it takes what it lacks; directors before version chains take documents alone.
-        #[serde(default, skip_serializing_if = "Wants::is_document")]
-        wants: Wants,
+        #[serde(default, skip_serializing_if = "CatchUp::is_document")]
+        wants: CatchUp,
     },
     Propose {
         after: u64,
@@ -170,21 +172,22 @@
         /// Said by an operator: half of what was listed may go at once.
         sure: bool,
     },
-    Standing,
+    #[serde(rename = "standing")]
+    Status,
     /// An earlier version's content.
     Content {
         number: u64,
     },
     Voter {
         from: VoterId,
-        word: Word,
+        word: VoterMessage,
     },
 }
 
 /// How a director takes versions that it lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wants {
+pub enum CatchUp {
     /// The newest, whole.
     #[default]
     Document,
@@ -194,15 +197,15 @@
     Either,
 }
 
-impl Wants {
+impl CatchUp {
     fn is_document(&self) -> bool {
-        *self == Wants::Document
+        *self == CatchUp::Document
     }
 }
 
 /// How a director stands with a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DirectorStanding {
+pub struct DirectorStatus {
     pub name: String,
     pub have: u64,
     pub acts: String,
@@ -214,7 +217,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Tell {
+pub enum VoterResponse {
     Welcome {
         me: VoterId,
     },
@@ -249,7 +252,8 @@
     NotTaken {
         why: String,
     },
-    Standing {
+    #[serde(rename = "standing")]
+    Status {
         newest: u64,
         digest: String,
         pending: bool,
@@ -260,14 +264,14 @@
         /// Versions a second that it has learned over the last minute.
         #[serde(default)]
         changes: f64,
-        directors: Vec<DirectorStanding>,
+        directors: Vec<DirectorStatus>,
     },
     Content {
         found: Option<Chosen>,
     },
     /// To a voter that asked, where there is no line to it yet.
     Voter {
-        word: Word,
+        word: VoterMessage,
     },
     /// That line was none; the connection ends.
     Fault(String),
--- a/crates/kelpdoor-agreement/src/voter.rs
+++ b/crates/kelpdoor-agreement/src/voter.rs
@@ -7,8 +7,9 @@
 
 use crate::RATE_ERROR;
 use crate::delta::Delta;
-use crate::words::{
-    Ask, Ballot, Chosen, DirectorStanding, LOG, MAX_DOCUMENT, Reading, Tell, Value, VoterId, Wants, Word,
+use crate::messages::{
+    Ballot, CatchUp, Chosen, ClientRequest, DirectorStatus, DocumentReader, MAX_DOCUMENT, MAX_LOG_BYTES,
+    MAX_LOG_VERSIONS, Value, VoterId, VoterMessage, VoterResponse,
 };
 
 /// Earlier versions kept for `back`.
@@ -86,7 +87,7 @@
             None => self.log.clear(),
         }
         let mut bytes: usize = self.log.iter().map(Delta::bytes).sum();
-        while self.log.len() > LOG.0 || bytes > LOG.1 {
+        while self.log.len() > MAX_LOG_VERSIONS || bytes > MAX_LOG_BYTES {
             bytes -= self.log.pop_front().map_or(bytes, |d| d.bytes());
         }
         self.chosen.push(newer);
@@ -102,11 +103,11 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    Message(VoterId, Word),
+    Message(VoterId, VoterMessage),
     /// To every other voter that is known of, whether it is on the list or not.
-    Broadcast(Word),
+    Broadcast(VoterMessage),
     /// To whoever asked under that number.
-    Response(u64, Tell),
+    Response(u64, VoterResponse),
 }
 
 /// A proposal that a client waits for.
@@ -174,13 +175,13 @@
     names: BTreeMap<String, Known>,
     /// When the last versions were learned, since our start; as many as the log has.
     learned: VecDeque<f64>,
-    reading: Reading,
+    reading: DocumentReader,
     rng: Rng,
     out: Vec<Output>,
 }
 
 impl Voter {
-    pub fn new(me: VoterId, durable: Durable, reading: Reading, seed: u64, now: f64) -> Self {
+    pub fn new(me: VoterId, durable: Durable, reading: DocumentReader, seed: u64, now: f64) -> Self {
         let mut rng = Rng::with_seed(seed ^ u64::from(me.0));
         let mut voter = Voter {
             me,
@@ -260,13 +261,13 @@
         voter == self.me || self.peers.get(&voter).is_some_and(|p| p.ready && now - p.asked < THERE)
     }
 
-    fn say_to_deciding(&mut self, word: &Word) {
+    fn say_to_deciding(&mut self, word: &VoterMessage) {
         for to in self.deciding.iter().filter(|v| **v != self.me) {
             self.out.push(Output::Message(*to, word.clone()));
         }
     }
 
-    fn tell(&mut self, client: u64, tell: Tell) {
+    fn tell(&mut self, client: u64, tell: VoterResponse) {
         self.out.push(Output::Response(client, tell));
     }
 
@@ -288,8 +289,8 @@
             accepted: BTreeSet::new(),
             until,
         });
-        self.say_to_deciding(&Word::Prepare { number, ballot });
-        self.hear(now, self.me, Word::Prepare { number, ballot });
+        self.say_to_deciding(&VoterMessage::Prepare { number, ballot });
+        self.hear(now, self.me, VoterMessage::Prepare { number, ballot });
     }
 
     fn promised(
@@ -318,7 +319,7 @@
         };
         t.value = Some(value.clone());
         let Value { id, text } = value;
-        let word = Word::Accept { number, ballot, id, text };
+        let word = VoterMessage::Accept { number, ballot, id, text };
         self.say_to_deciding(&word);
         self.hear(now, self.me, word);
     }
@@ -335,7 +336,7 @@
             return;
         }
         let Some(Value { id, text }) = t.value.clone() else { return };
-        let word = Word::Learn { number, id, text };
+        let word = VoterMessage::Learn { number, id, text };
         self.out.push(Output::Broadcast(word.clone()));
         self.hear(now, self.me, word);
     }
@@ -345,7 +346,7 @@
             return;
         }
         self.learned.push_back(now);
-        let over = self.learned.len().saturating_sub(LOG.0);
+        let over = self.learned.len().saturating_sub(MAX_LOG_VERSIONS);
         self.learned.drain(..over);
         let d = &mut self.durable;
         d.learned(Chosen { number, value });
@@ -382,26 +383,26 @@
         }
     }
 
-    fn outcome(&self, value: &Value) -> Tell {
+    fn outcome(&self, value: &Value) -> VoterResponse {
         if let Some(c) = self.durable.chosen.iter().find(|c| c.value == *value) {
-            return Tell::Agreed { number: c.number };
+            return VoterResponse::Agreed { number: c.number };
         }
         let digest = self.newest().map(Chosen::digest).unwrap_or_default();
-        Tell::Lost { newest: self.durable.newest(), digest }
+        VoterResponse::Lost { newest: self.durable.newest(), digest }
     }
 
     // Voters.
 
     /// A word of another voter's.
-    pub fn hear(&mut self, now: f64, from: VoterId, word: Word) {
+    pub fn hear(&mut self, now: f64, from: VoterId, word: VoterMessage) {
         let (newest, may_vote) = (self.durable.newest(), self.durable.votes() && self.listed());
         if !word.plausible() {
             // It would end the count; no voter of ours says it.
             return;
         }
-        if let Word::Accept { text, .. }
-        | Word::Learn { text, .. }
-        | Word::Promise { accepted: Some((.., text)), .. } = &word
+        if let VoterMessage::Accept { text, .. }
+        | VoterMessage::Learn { text, .. }
+        | VoterMessage::Promise { accepted: Some((.., text)), .. } = &word
             && text.len() > MAX_DOCUMENT
         {
             // No voter of ours proposes it.
@@ -413,22 +414,26 @@
             }
         };
         match word {
-            Word::Prepare { number, .. } | Word::Accept { number, .. } if number <= newest => {
+            VoterMessage::Prepare { number, .. } | VoterMessage::Accept { number, .. }
+                if number <= newest =>
+            {
                 // Of ours the newest alone is sent: whoever lacks more than one passes those between over.
                 if let Some(Chosen { number, value }) = self.durable.chosen.last().cloned() {
-                    answer(Word::Learn { number, id: value.id, text: value.text });
+                    answer(VoterMessage::Learn { number, id: value.id, text: value.text });
                 }
             }
-            Word::Prepare { number, .. } | Word::Accept { number, .. } if number > newest + 1 => {
-                answer(Word::Behind { have: newest });
+            VoterMessage::Prepare { number, .. } | VoterMessage::Accept { number, .. }
+                if number > newest + 1 =>
+            {
+                answer(VoterMessage::Behind { have: newest });
             }
-            Word::Prepare { .. } | Word::Accept { .. } if !may_vote => {}
-            Word::Prepare { number, ballot } | Word::Accept { number, ballot, .. }
+            VoterMessage::Prepare { .. } | VoterMessage::Accept { .. } if !may_vote => {}
+            VoterMessage::Prepare { number, ballot } | VoterMessage::Accept { number, ballot, .. }
                 if ballot < self.durable.promised =>
             {
-                answer(Word::Refuse { number, promised: self.durable.promised });
+                answer(VoterMessage::Refuse { number, promised: self.durable.promised });
             }
-            Word::Prepare { number, ballot } => {
+            VoterMessage::Prepare { number, ballot } => {
                 self.dirty |= self.durable.promised != ballot;
                 self.durable.promised = ballot;
                 let accepted = self.durable.accepted.clone();
@@ -436,9 +441,9 @@
                     return self.promised(now, from, number, ballot, accepted);
                 }
                 let accepted = accepted.map(|(b, v)| (b, v.id, v.text));
-                answer(Word::Promise { number, ballot, accepted });
+                answer(VoterMessage::Promise { number, ballot, accepted });
             }
-            Word::Accept { number, ballot, id, text } => {
+            VoterMessage::Accept { number, ballot, id, text } => {
                 self.durable.promised = ballot;
                 self.durable.accepted = Some((ballot, Value { id, text }));
                 self.dirty = true;
@@ -446,51 +451,55 @@
                 if from == self.me {
                     return self.accepted(now, from, number, ballot);
                 }
-                answer(Word::Accepted { number, ballot });
+                answer(VoterMessage::Accepted { number, ballot });
             }
-            Word::Promise { number, ballot, accepted } => {
+            VoterMessage::Promise { number, ballot, accepted } => {
                 let accepted = accepted.map(|(b, id, text)| (b, Value { id, text }));
                 self.promised(now, from, number, ballot, accepted);
             }
-            Word::Accepted { number, ballot } => self.accepted(now, from, number, ballot),
-            Word::Refuse { number, promised } => {
+            VoterMessage::Accepted { number, ballot } => self.accepted(now, from, number, ballot),
+            VoterMessage::Refuse { number, promised } => {
                 // Tried again above it, after the try's own wait, so that two proposers do not chase each other.
                 if self.tried.as_ref().is_some_and(|t| t.number == number) {
                     self.round = self.round.max(promised.round);
                 }
             }
-            Word::Learn { number, id, text } => self.learn(now, number, Value { id, text }),
-            Word::Behind { have } => {
+            VoterMessage::Learn { number, id, text } => self.learn(now, number, Value { id, text }),
+            VoterMessage::Behind { have } => {
                 let Some(Chosen { number, value }) = self.durable.chosen.last().cloned() else { return };
                 if have < number {
-                    answer(Word::Learn { number, id: value.id, text: value.text });
+                    answer(VoterMessage::Learn { number, id: value.id, text: value.text });
                     // And the try's word again, which it could not take.
                     if let Some(t) = self.tried.as_ref().filter(|t| t.number == number + 1) {
                         let (number, ballot) = (t.number, t.ballot);
                         answer(match t.value.clone() {
-                            None => Word::Prepare { number, ballot },
-                            Some(Value { id, text }) => Word::Accept { number, ballot, id, text },
+                            None => VoterMessage::Prepare { number, ballot },
+                            Some(Value { id, text }) => VoterMessage::Accept { number, ballot, id, text },
                         });
                     }
                 }
             }
-            Word::Want { start, have, ready } => {
+            VoterMessage::Want { start, have, ready } => {
                 if let Some(Chosen { number, value }) =
                     self.durable.chosen.last().filter(|c| c.number > have).cloned()
                 {
-                    answer(Word::Learn { number, id: value.id, text: value.text });
+                    answer(VoterMessage::Learn { number, id: value.id, text: value.text });
                 }
                 // One that lost its own store knows nothing that others could rest on.
                 if self.durable.votes_from.is_some() {
-                    answer(Word::Have { start, number: newest, accepted: self.durable.accepted.is_some() });
+                    answer(VoterMessage::Have {
+                        start,
+                        number: newest,
+                        accepted: self.durable.accepted.is_some(),
+                    });
                 }
                 self.lacks |= have > newest;
                 if from != self.me && (self.peers.contains_key(&from) || self.peers.len() < PEERS) {
                     self.peers.insert(from, Peer { asked: now, ready });
                 }
             }
-            Word::Have { start, .. } if start != self.start => {}
-            Word::Have { number, accepted, .. } => {
+            VoterMessage::Have { start, .. } if start != self.start => {}
+            VoterMessage::Have { number, accepted, .. } => {
                 self.lacks |= number > newest;
                 if self.durable.votes_from.is_none()
                     && (self.heard.contains_key(&from) || self.heard.len() < PEERS)
@@ -505,28 +514,28 @@
     // Directors and operators.
 
     /// A question under a number, at which the answer comes.
-    pub fn ask(&mut self, now: f64, client: u64, ask: Ask) {
+    pub fn ask(&mut self, now: f64, client: u64, ask: ClientRequest) {
         match ask {
-            Ask::Renew { name, boot, seq, have, lease, left, acts, wants } => {
+            ClientRequest::Renew { name, boot, seq, have, lease, left, acts, wants } => {
                 let tell = self.renew(now, &name, Known { boot, until: lease, have, acts, heard: now, left });
                 let tell = match tell {
-                    Err(why) => Tell::Refused { seq, why },
+                    Err(why) => VoterResponse::Refused { seq, why },
                     Ok(()) => {
                         let newest = self.durable.newest();
                         self.lacks |= have > newest;
                         let chain = match wants {
-                            Wants::Chain | Wants::Either => self.durable.chain(have).unwrap_or_default(),
-                            Wants::Document => Vec::new(),
+                            CatchUp::Chain | CatchUp::Either => self.durable.chain(have).unwrap_or_default(),
+                            CatchUp::Document => Vec::new(),
                         };
-                        let whole = have < newest && chain.is_empty() && wants != Wants::Chain;
+                        let whole = have < newest && chain.is_empty() && wants != CatchUp::Chain;
                         let document = whole.then(|| self.newest().cloned()).flatten();
                         let pending = self.durable.accepted.is_some();
-                        Tell::Granted { seq, newest, pending, document, chain }
+                        VoterResponse::Granted { seq, newest, pending, document, chain }
                     }
                 };
                 self.tell(client, tell);
             }
-            Ask::Propose { after, value, .. } => {
+            ClientRequest::Propose { after, value, .. } => {
                 let newest = self.durable.newest();
                 if self.durable.chosen.iter().any(|c| c.value == value) || after < newest {
                     // Also an answer that was lost, asked for again.
@@ -550,18 +559,18 @@
                     self.own = Some(Own { client, value, until: now + GIVE_UP });
                     return self.begin(now);
                 };
-                self.tell(client, Tell::NotTaken { why });
+                self.tell(client, VoterResponse::NotTaken { why });
             }
-            Ask::Standing => {
+            ClientRequest::Status => {
                 let digest = self.newest().map(Chosen::digest).unwrap_or_default();
-                let of = |(name, k): (&String, &Known)| DirectorStanding {
+                let of = |(name, k): (&String, &Known)| DirectorStatus {
                     name: name.clone(),
                     have: k.have,
                     acts: k.acts.clone(),
                     heard: now - k.heard,
                     left: k.left,
                 };
-                let tell = Tell::Standing {
+                let tell = VoterResponse::Status {
                     newest: self.durable.newest(),
                     digest,
                     pending: self.durable.accepted.is_some(),
@@ -573,21 +582,21 @@
                 };
                 self.tell(client, tell);
             }
-            Ask::Content { number } => {
+            ClientRequest::Content { number } => {
                 let found = self.durable.chosen.iter().find(|c| c.number == number).cloned();
-                self.tell(client, Tell::Content { found });
+                self.tell(client, VoterResponse::Content { found });
             }
             // In another's name than ours; what it says counts only where it is on the list.
-            Ask::Voter { from, word } if from != self.me => self.hear(now, from, word),
+            ClientRequest::Voter { from, word } if from != self.me => self.hear(now, from, word),
             // Of the connection alone.
-            Ask::Voter { .. } | Ask::Hello { .. } | Ask::Ping => {}
+            ClientRequest::Voter { .. } | ClientRequest::Hello { .. } | ClientRequest::Ping => {}
         }
     }
 
     /// Versions learned a second over the last minute, or over as long as it has been counted.
     fn changes(&self, now: f64) -> f64 {
         let counted = self.learned.iter().filter(|at| now - **at <= COUNTED).count();
-        let full = self.learned.len() == LOG.0 && counted == LOG.0;
+        let full = self.learned.len() == MAX_LOG_VERSIONS && counted == MAX_LOG_VERSIONS;
         let since = if full { self.learned[0] } else { self.started.max(now - COUNTED) };
         counted as f64 / (now - since).max(1.0)
     }
@@ -644,7 +653,7 @@
             && let Some(own) = self.own.take()
         {
             let why = format!("no majority of voters within {GIVE_UP} s; it may still be agreed");
-            self.tell(own.client, Tell::Unknown { why });
+            self.tell(own.client, VoterResponse::Unknown { why });
         }
         let over = self.tried.as_ref().is_some_and(|t| now >= t.until);
         if over {
@@ -659,7 +668,7 @@
         if now >= self.wanted_at + self.want_every() {
             self.wanted_at = now;
             let (have, ready) = (self.durable.newest(), self.durable.votes_from.is_some());
-            self.out.push(Output::Broadcast(Word::Want { start: self.start, have, ready }));
+            self.out.push(Output::Broadcast(VoterMessage::Want { start: self.start, have, ready }));
         }
         self.names.retain(|_, k| now - k.heard < LISTED);
     }
--- a/crates/kelpdoor-agreement/tests/chained.rs
+++ b/crates/kelpdoor-agreement/tests/chained.rs
@@ -8,7 +8,9 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use kelpdoor_agreement::{Ask, Chosen, Durable, Follower, Output, Tell, Value, Voter, VoterId, Word};
+use kelpdoor_agreement::{
+    Chosen, ClientRequest, Durable, Follower, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
+};
 use texts::{READING, Texts};
 
 const DECIDES: VoterId = VoterId(0);
@@ -34,7 +36,7 @@
     voters: [Voter; 2],
     directors: [Follower<Texts>; 2],
     /// Answers on their way, by director and voter.
-    late: BTreeMap<(usize, VoterId), Tell>,
+    late: BTreeMap<(usize, VoterId), VoterResponse>,
     /// By version, when somebody first acted who heeded nothing older.
     first: BTreeMap<u64, u32>,
     acted: u64,
@@ -76,7 +78,7 @@
     }
 
     /// A director asks, and the voter answers, whatever becomes of the answer.
-    fn ask(&mut self, d: usize, voter: VoterId) -> Option<Tell> {
+    fn ask(&mut self, d: usize, voter: VoterId) -> Option<VoterResponse> {
         let now = self.now();
         let ask = self.directors[d].ask(now, voter)?;
         let v = &mut self.voters[usize::from(voter.0)];
@@ -87,7 +89,7 @@
         })
     }
 
-    fn hear(&mut self, d: usize, voter: VoterId, tell: Tell) {
+    fn hear(&mut self, d: usize, voter: VoterId, tell: VoterResponse) {
         // A word that is not taken says so; nothing else comes of it.
         let _ = self.directors[d].heard(self.now(), voter, tell);
         self.look();
@@ -104,14 +106,18 @@
             event(&mut |s| {
                 s.chosen += 1;
                 let value = Value { id: s.chosen, text: text(s.chosen) };
-                s.voters[0].ask(s.now(), 9, Ask::Propose { after: s.chosen - 1, value, sure: false });
+                s.voters[0].ask(
+                    s.now(),
+                    9,
+                    ClientRequest::Propose { after: s.chosen - 1, value, sure: false },
+                );
                 s.voters[0].take_output();
             });
         }
         if self.voters[1].durable().newest() < self.chosen {
             event(&mut |s| {
                 let (number, id, text) = (s.chosen, s.chosen, text(s.chosen));
-                s.voters[1].hear(s.now(), DECIDES, Word::Learn { number, id, text });
+                s.voters[1].hear(s.now(), DECIDES, VoterMessage::Learn { number, id, text });
                 s.voters[1].take_output();
             });
         }
--- a/crates/kelpdoor-agreement/tests/chains.rs
+++ b/crates/kelpdoor-agreement/tests/chains.rs
@@ -7,8 +7,8 @@
 use expect_test::expect;
 use fastrand::Rng;
 use kelpdoor_agreement::{
-    Ask, Chosen, Delta, Durable, Edit, Follower, LOG, MAX_DOCUMENT, Output, RATE_ERROR, Tell, Value, Voter,
-    VoterId, Wants, Word, lease_of,
+    CatchUp, Chosen, ClientRequest, Delta, Durable, Edit, Follower, MAX_DOCUMENT, MAX_LOG_BYTES,
+    MAX_LOG_VERSIONS, Output, RATE_ERROR, Value, Voter, VoterId, VoterMessage, VoterResponse, lease_of,
 };
 use texts::{READING, Texts};
 
@@ -25,14 +25,14 @@
     (from..to).map(|n| Delta::between(&version(n, &text(n)), &version(n + 1, &text(n + 1)))).collect()
 }
 
-fn tell(seq: u64, newest: u64, document: Option<Chosen>, chain: Vec<Delta>) -> Tell {
-    Tell::Granted { seq, newest, pending: false, document, chain }
+fn tell(seq: u64, newest: u64, document: Option<Chosen>, chain: Vec<Delta>) -> VoterResponse {
+    VoterResponse::Granted { seq, newest, pending: false, document, chain }
 }
 
 /// All three voters are asked and answer so.
 fn say(f: &mut Follower<Texts>, now: f64, newest: u64, chain: &[Delta]) -> Result<(), String> {
     for v in 0..3 {
-        if let Some(Ask::Renew { seq, .. }) = f.ask(now, VoterId(v)) {
+        if let Some(ClientRequest::Renew { seq, .. }) = f.ask(now, VoterId(v)) {
             f.heard(now, VoterId(v), tell(seq, newest, None, chain.to_vec()))?;
         }
     }
@@ -103,7 +103,7 @@
     let mut large = good.clone();
     large[1].edits[0].put = far;
     let mut long = Vec::new();
-    (0..=LOG.0).for_each(|_| long.push(good[0].clone()));
+    (0..=MAX_LOG_VERSIONS).for_each(|_| long.push(good[0].clone()));
     let mut parts = good.clone();
     parts[0].edits = vec![Edit { at: 0, cut: 0, put: String::new() }; 1025];
     let cases = [
@@ -132,10 +132,10 @@
         assert_eq!(f.acting(2.5), before, "{name}: nothing of it counts");
         // The voter that said it is asked for the document, the others for a chain.
         let wants = |f: &mut Follower<Texts>, v| match f.ask(2.75, VoterId(v)) {
-            Some(Ask::Renew { wants, .. }) => wants,
+            Some(ClientRequest::Renew { wants, .. }) => wants,
             other => panic!("{other:?}"),
         };
-        assert_eq!((wants(&mut f, 0), wants(&mut f, 1)), (Wants::Document, Wants::Chain), "{name}");
+        assert_eq!((wants(&mut f, 0), wants(&mut f, 1)), (CatchUp::Document, CatchUp::Chain), "{name}");
     }
     expect![[r#"
         a hole: voter 0: a delta makes version 4, version 2 is known
@@ -166,7 +166,7 @@
             let t = 2.5 + 0.0502 * f64::from(step);
             let next = 1 + ((t - 2.25) * rate) as u64;
             let voter = VoterId((step % 5) as u8);
-            if let Some(Ask::Renew { seq, .. }) = f.ask(t, voter) {
+            if let Some(ClientRequest::Renew { seq, .. }) = f.ask(t, voter) {
                 f.heard(t, voter, tell(seq, next, None, chain(number, next))).unwrap();
             }
             number = f.known().unwrap().number;
@@ -196,14 +196,14 @@
     let mut v = Voter::new(VoterId(0), Durable::founded("f", &founders), READING, 1, 0.0);
     let mut disk = v.durable().clone();
     for number in numbers {
-        v.hear(0.0, VoterId(1), Word::Learn { number, id: number, text: text(number) });
+        v.hear(0.0, VoterId(1), VoterMessage::Learn { number, id: number, text: text(number) });
         disk = v.take_output().0.unwrap_or(disk);
     }
     (v, disk)
 }
 
-fn answer(v: &mut Voter, have: u64, wants: Wants) -> (Option<u64>, Vec<u64>) {
-    let renew = Ask::Renew {
+fn answer(v: &mut Voter, have: u64, wants: CatchUp) -> (Option<u64>, Vec<u64>) {
+    let renew = ClientRequest::Renew {
         name: "d".into(),
         boot: 1,
         seq: 1,
@@ -215,7 +215,7 @@
     };
     v.ask(5.0, 1, renew);
     match v.take_output().1.pop() {
-        Some(Output::Response(_, Tell::Granted { document, chain, .. })) => {
+        Some(Output::Response(_, VoterResponse::Granted { document, chain, .. })) => {
             (document.map(|c| c.number), chain.iter().map(|d| d.number).collect())
         }
         other => panic!("{other:?}"),
@@ -225,50 +225,53 @@
 #[test]
 fn a_voter_tells_what_its_log_has_and_the_document_where_that_is_wanted() {
     let (mut v, disk) = learned(1..=5, text);
-    assert_eq!(answer(&mut v, 2, Wants::Chain), (None, vec![3, 4, 5]));
-    assert_eq!(answer(&mut v, 2, Wants::Document), (Some(5), vec![]));
-    assert_eq!(answer(&mut v, 0, Wants::Either), (Some(5), vec![]));
-    assert_eq!(answer(&mut v, 0, Wants::Chain), (None, vec![]));
-    assert_eq!(answer(&mut v, 5, Wants::Either), (None, vec![]));
-    assert_eq!(answer(&mut v, 9, Wants::Either), (None, vec![]));
+    assert_eq!(answer(&mut v, 2, CatchUp::Chain), (None, vec![3, 4, 5]));
+    assert_eq!(answer(&mut v, 2, CatchUp::Document), (Some(5), vec![]));
+    assert_eq!(answer(&mut v, 0, CatchUp::Either), (Some(5), vec![]));
+    assert_eq!(answer(&mut v, 0, CatchUp::Chain), (None, vec![]));
+    assert_eq!(answer(&mut v, 5, CatchUp::Either), (None, vec![]));
+    assert_eq!(answer(&mut v, 9, CatchUp::Either), (None, vec![]));
     // What it told is on disk: after a restart it tells the same.
     let mut again = Voter::new(VoterId(0), disk, READING, 1, 0.0);
-    assert_eq!(answer(&mut again, 2, Wants::Chain), (None, vec![3, 4, 5]));
+    assert_eq!(answer(&mut again, 2, CatchUp::Chain), (None, vec![3, 4, 5]));
     // A version was missed: nothing before it joins.
-    again.hear(0.0, VoterId(1), Word::Learn { number: 7, id: 7, text: text(7) });
-    again.hear(0.0, VoterId(1), Word::Learn { number: 8, id: 8, text: text(8) });
-    assert_eq!(answer(&mut again, 5, Wants::Chain), (None, vec![]));
-    assert_eq!(answer(&mut again, 5, Wants::Either), (Some(8), vec![]));
-    assert_eq!(answer(&mut again, 7, Wants::Either), (None, vec![8]));
+    again.hear(0.0, VoterId(1), VoterMessage::Learn { number: 7, id: 7, text: text(7) });
+    again.hear(0.0, VoterId(1), VoterMessage::Learn { number: 8, id: 8, text: text(8) });
+    assert_eq!(answer(&mut again, 5, CatchUp::Chain), (None, vec![]));
+    assert_eq!(answer(&mut again, 5, CatchUp::Either), (Some(8), vec![]));
+    assert_eq!(answer(&mut again, 7, CatchUp::Either), (None, vec![8]));
 }
 
 #[test]
 fn a_voter_counts_changes_a_second_for_operators() {
     let (mut v, _) = learned(1..=30, text);
     let mut changes = |now: f64| {
-        v.ask(now, 1, Ask::Standing);
+        v.ask(now, 1, ClientRequest::Status);
         match v.take_output().1.pop() {
-            Some(Output::Response(_, Tell::Standing { changes, .. })) => changes,
+            Some(Output::Response(_, VoterResponse::Status { changes, .. })) => changes,
             other => panic!("{other:?}"),
         }
     };
     assert_eq!([changes(0.0), changes(10.0), changes(60.0), changes(60.5)], [30.0, 3.0, 0.5, 0.0]);
     let (mut fast, _) = learned(1..=1000, text);
-    fast.ask(20.0, 1, Ask::Standing);
+    fast.ask(20.0, 1, ClientRequest::Status);
     let told = fast.take_output().1.pop();
     assert!(
-        matches!(told, Some(Output::Response(_, Tell::Standing { changes, .. })) if changes == LOG.0 as f64 / 20.0)
+        matches!(told, Some(Output::Response(_, VoterResponse::Status { changes, .. })) if changes == MAX_LOG_VERSIONS as f64 / 20.0)
     );
 }
 
 #[test]
 fn the_log_is_bounded_in_versions_and_in_bytes() {
     let (v, _) = learned(1..=400, text);
-    assert_eq!((v.durable().log.len(), v.durable().log[0].number), (LOG.0, 401 - LOG.0 as u64));
+    assert_eq!(
+        (v.durable().log.len(), v.durable().log[0].number),
+        (MAX_LOG_VERSIONS, 401 - MAX_LOG_VERSIONS as u64)
+    );
     // Each changes all of 100 KB: few fit, and the newest does even when it alone is as large as a document may be.
     let (v, _) = learned(1..=20, |n| char::from(b'a' + n as u8).to_string().repeat(100_000));
     let bytes: usize = v.durable().log.iter().map(Delta::bytes).sum();
-    assert!((3..=5).contains(&v.durable().log.len()) && bytes <= LOG.1, "{bytes}");
+    assert!((3..=5).contains(&v.durable().log.len()) && bytes <= MAX_LOG_BYTES, "{bytes}");
     let (v, _) = learned(1..=3, |n| char::from(b'a' + n as u8).to_string().repeat(MAX_DOCUMENT));
     assert_eq!(v.durable().log.back().map(|d| d.number), Some(3));
 }
@@ -302,14 +305,16 @@
 #[test]
 fn what_was_written_before_chains_reads_as_without_any() {
     let ask = r#"{"renew":{"name":"d","boot":1,"seq":2,"have":3,"lease":1.0,"left":0.5,"acts":""}}"#;
-    assert!(matches!(serde_json::from_str(ask), Ok(Ask::Renew { wants: Wants::Document, .. })));
+    assert!(matches!(serde_json::from_str(ask), Ok(ClientRequest::Renew { wants: CatchUp::Document, .. })));
     let told = r#"{"granted":{"seq":2,"newest":3,"pending":false,"document":null}}"#;
-    assert!(matches!(serde_json::from_str(told), Ok(Tell::Granted { chain, .. }) if chain.is_empty()));
+    assert!(
+        matches!(serde_json::from_str(told), Ok(VoterResponse::Granted { chain, .. }) if chain.is_empty())
+    );
     let store = r#"{"fleet":"f","founders":[0],"chosen":[{"number":3,"value":{"id":1,"text":"t"}}],
                     "promised":{"round":0,"voter":0},"accepted":null,"votes_from":1}"#;
     let durable: Durable = serde_json::from_str(store).unwrap();
     assert!(durable.newest() == 3 && durable.log.is_empty() && durable.chain(2).is_none());
     // And the other way round: what has no chain says nothing of one.
-    let plain = Tell::Granted { seq: 2, newest: 3, pending: false, document: None, chain: vec![] };
+    let plain = VoterResponse::Granted { seq: 2, newest: 3, pending: false, document: None, chain: vec![] };
     assert_eq!(serde_json::to_string(&plain).unwrap(), told);
 }
--- a/crates/kelpdoor-agreement/tests/exhaustive.rs
+++ b/crates/kelpdoor-agreement/tests/exhaustive.rs
@@ -6,7 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use kelpdoor_agreement::{Ask, Ballot, Chosen, Durable, Output, Value, Voter, VoterId, Word};
+use kelpdoor_agreement::{
+    Ballot, Chosen, ClientRequest, Durable, Output, Value, Voter, VoterId, VoterMessage,
+};
 use texts::READING;
 
 const FOUNDERS: [VoterId; 3] = [VoterId(0), VoterId(1), VoterId(2)];
@@ -27,7 +29,7 @@
 struct State {
     voters: Vec<Voter>,
     /// On the way, each at most once; a word that is never delivered is one that was lost.
-    net: BTreeSet<(VoterId, VoterId, Word)>,
+    net: BTreeSet<(VoterId, VoterId, VoterMessage)>,
     restarts: u8,
     /// Tries begun again, by either proposer.
     again: u8,
@@ -50,7 +52,7 @@
             // What is chosen is judged by who accepted: word of it would multiply the states.
             if let Output::Message(to, word) = o
                 && !lost
-                && !matches!(word, Word::Learn { .. })
+                && !matches!(word, VoterMessage::Learn { .. })
             {
                 self.net.insert((VoterId(k as u8), to, word));
             }
@@ -73,7 +75,7 @@
     let mut first = State { voters, net: BTreeSet::new(), restarts, again, accepted: BTreeMap::new() };
     for k in 0..proposers {
         let value = Value { id: k as u64 + 1, text: format!("text {k}") };
-        first.voters[k].ask(0.0, 1, Ask::Propose { after: 0, value, sure: false });
+        first.voters[k].ask(0.0, 1, ClientRequest::Propose { after: 0, value, sure: false });
         first.flush(k, false);
     }
     let mut seen = HashSet::from([first.key()]);
@@ -160,7 +162,7 @@
 #[derive(Clone)]
 struct Handing {
     voters: Vec<Voter>,
-    net: BTreeSet<(VoterId, VoterId, Word)>,
+    net: BTreeSet<(VoterId, VoterId, VoterMessage)>,
     proposals: u8,
     again: u8,
     restarts: u8,
@@ -185,8 +187,8 @@
         for o in out {
             match o {
                 // The words of who looks whether it lacks anything: none does here that is not told otherwise.
-                Output::Message(_, Word::Want { .. })
-                | Output::Broadcast(Word::Want { .. })
+                Output::Message(_, VoterMessage::Want { .. })
+                | Output::Broadcast(VoterMessage::Want { .. })
                 | Output::Response(..) => {}
                 Output::Message(to, word) => self.put(me, to, word),
                 Output::Broadcast(word) => {
@@ -198,13 +200,13 @@
         // What tells nobody anything is as good as lost.
         let known: Vec<u64> = self.voters.iter().map(|v| v.durable().newest()).collect();
         self.net.retain(
-            |(_, to, w)| !matches!(w, Word::Learn { number, .. } if *number <= known[usize::from(to.0)]),
+            |(_, to, w)| !matches!(w, VoterMessage::Learn { number, .. } if *number <= known[usize::from(to.0)]),
         );
     }
 
-    fn put(&mut self, from: VoterId, to: VoterId, word: Word) {
+    fn put(&mut self, from: VoterId, to: VoterId, word: VoterMessage) {
         // Whoever says that a version is chosen says the same.
-        let from = if matches!(word, Word::Learn { .. }) { to } else { from };
+        let from = if matches!(word, VoterMessage::Learn { .. }) { to } else { from };
         self.net.insert((from, to, word));
     }
 
@@ -229,7 +231,7 @@
     let (net, accepted) = (BTreeSet::new(), BTreeMap::new());
     let mut start = Handing { voters: voters.collect(), net, proposals, again, restarts, accepted };
     let value = Value { id: 2, text: AFTER.into() };
-    start.voters[0].ask(0.0, 1, Ask::Propose { after: 1, value, sure: false });
+    start.voters[0].ask(0.0, 1, ClientRequest::Propose { after: 1, value, sure: false });
     start.flush(0);
     // One majority has promised; voter 2 may hear of nothing for long.
     for (from, to, word) in std::mem::take(&mut start.net) {
@@ -268,7 +270,7 @@
                 let mut s = state.clone();
                 s.proposals -= 1;
                 let value = Value { id: 10 + k as u64, text: format!("{k} by 0 1 3") };
-                s.voters[k].ask(0.0, 1, Ask::Propose { after: 2, value, sure: false });
+                s.voters[k].ask(0.0, 1, ClientRequest::Propose { after: 2, value, sure: false });
                 s.flush(k);
                 next.push(s);
             }
--- a/crates/kelpdoor-agreement/tests/simulated.rs
+++ b/crates/kelpdoor-agreement/tests/simulated.rs
@@ -7,7 +7,8 @@
 
 use fastrand::Rng;
 use kelpdoor_agreement::{
-    Ask, Chosen, Durable, Follower, Output, Tell, Value, Voter, VoterId, Word, lease_of,
+    Chosen, ClientRequest, Durable, Follower, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
+    lease_of,
 };
 use texts::{READING, Texts};
 
@@ -24,11 +25,11 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Voter(usize, u64, VoterId, Word),
-    Asked(usize, u64, usize, Ask),
-    Told(usize, u64, usize, Tell),
-    Proposed(usize, Ask),
-    Outcome(Value, Tell),
+    Voter(usize, u64, VoterId, VoterMessage),
+    Asked(usize, u64, usize, ClientRequest),
+    Told(usize, u64, usize, VoterResponse),
+    Proposed(usize, ClientRequest),
+    Outcome(Value, VoterResponse),
     /// At that voter, or at any.
     Propose(Option<usize>),
     Trouble,
@@ -177,7 +178,7 @@
         }
         for o in &out {
             // Nothing is told of a version that a restart would not know of.
-            if let Output::Response(_, Tell::Granted { chain, .. }) = o
+            if let Output::Response(_, VoterResponse::Granted { chain, .. }) = o
                 && let Some(d) = chain.iter().find(|d| !self.disks[k].log.contains(d))
             {
                 self.wrong.push(format!(
@@ -217,7 +218,7 @@
         }
     }
 
-    fn say(&mut self, from: usize, to: usize, word: Word) {
+    fn say(&mut self, from: usize, to: usize, word: VoterMessage) {
         let event = Event::Voter(to, self.sites[to].life, VoterId(from as u8), word);
         self.carry(from, to, event);
     }
@@ -426,13 +427,13 @@
                     let at = self.sites[k].paused_until;
                     return self.at(at, Event::Proposed(k, ask));
                 }
-                let Ask::Propose { value, .. } = &ask else { return };
+                let ClientRequest::Propose { value, .. } = &ask else { return };
                 let (now, client) = (self.local(k), value.id);
                 self.voters[k].ask(now, client, ask);
                 self.flush(k);
             }
             Event::Outcome(value, tell) => {
-                if let Tell::Agreed { number } = tell {
+                if let VoterResponse::Agreed { number } = tell {
                     self.acknowledged.push((number, value));
                 }
             }
@@ -443,7 +444,7 @@
                 self.next_id += 1;
                 let id = 1000 + self.next_id;
                 let value = Value { id, text: text(id, &self.list(k), self.contradiction) };
-                self.at(self.t, Event::Proposed(k, Ask::Propose { after, value, sure: false }));
+                self.at(self.t, Event::Proposed(k, ClientRequest::Propose { after, value, sure: false }));
                 if at.is_none() && self.t < TROUBLE {
                     let wait = self.propose_every * self.rng.f64().powi(2);
                     self.at(self.t + wait, Event::Propose(None));
@@ -612,7 +613,7 @@
         let propose = |sim: &mut Sim, after: u64| {
             let value = Value { id: 2000 + after, text: text(after, &[0, 1, 2], CONTRADICTION) };
             let at = sim.t;
-            sim.at(at, Event::Proposed(0, Ask::Propose { after, value, sure: false }));
+            sim.at(at, Event::Proposed(0, ClientRequest::Propose { after, value, sure: false }));
         };
         sim.at(0.0, Event::Look);
         propose(&mut sim, 0);
--- a/crates/kelpdoor-agreement/tests/table.rs
+++ b/crates/kelpdoor-agreement/tests/table.rs
@@ -5,7 +5,8 @@
 use expect_test::expect;
 use kelpdoor_agreement::keys::{Class, both, may_follow, numbering};
 use kelpdoor_agreement::{
-    Ask, Ballot, Chosen, Durable, Follower, Output, Tell, Value, Voter, VoterId, Wants, Word,
+    Ballot, CatchUp, Chosen, ClientRequest, Durable, Follower, Output, Value, Voter, VoterId, VoterMessage,
+    VoterResponse,
 };
 use kelpdoor_script::Shared;
 use texts::{READING, Texts};
@@ -21,7 +22,7 @@
 }
 
 /// Carries words until none is left, but for those that `cut` takes; what clients are told.
-fn pump(voters: &mut [Voter], now: f64, cut: impl Fn(u8, u8, &Word) -> bool) -> Vec<Tell> {
+fn pump(voters: &mut [Voter], now: f64, cut: impl Fn(u8, u8, &VoterMessage) -> bool) -> Vec<VoterResponse> {
     let (mut told, count) = (Vec::new(), voters.len());
     loop {
         let mut net = Vec::new();
@@ -49,23 +50,26 @@
 }
 
 fn propose(voters: &mut [Voter], k: usize, after: u64, id: u64) {
-    voters[k].ask(0.0, 1, Ask::Propose { after, value: value(id), sure: false });
+    voters[k].ask(0.0, 1, ClientRequest::Propose { after, value: value(id), sure: false });
 }
 
 #[test]
 fn a_proposal_is_a_compare_and_set() {
     let mut v = voters();
     propose(&mut v, 0, 0, 1);
-    assert_eq!(pump(&mut v, 0.0, |_, _, _| false), [Tell::Agreed { number: 1 }]);
+    assert_eq!(pump(&mut v, 0.0, |_, _, _| false), [VoterResponse::Agreed { number: 1 }]);
     propose(&mut v, 1, 0, 2);
     let digest = v[0].newest().unwrap().digest();
-    assert_eq!(pump(&mut v, 0.0, |_, _, _| false), [Tell::Lost { newest: 1, digest }]);
+    assert_eq!(pump(&mut v, 0.0, |_, _, _| false), [VoterResponse::Lost { newest: 1, digest }]);
     // An answer that was lost is asked for again, at any voter.
     propose(&mut v, 2, 0, 1);
-    assert_eq!(pump(&mut v, 0.0, |_, _, _| false), [Tell::Agreed { number: 1 }]);
+    assert_eq!(pump(&mut v, 0.0, |_, _, _| false), [VoterResponse::Agreed { number: 1 }]);
     propose(&mut v, 2, 7, 3);
     let told = pump(&mut v, 0.0, |_, _, _| false);
-    assert_eq!(told, [Tell::NotTaken { why: "version 7 is not known here, the newest is 1".into() }]);
+    assert_eq!(
+        told,
+        [VoterResponse::NotTaken { why: "version 7 is not known here, the newest is 1".into() }]
+    );
 }
 
 #[test]
@@ -81,9 +85,9 @@
     }
     let won = v[0].newest().unwrap().clone();
     assert!(v.iter().all(|v| v.newest() == Some(&won)), "all know the same");
-    let lost = Tell::Lost { newest: 1, digest: won.digest() };
-    told.sort_by_key(|t| matches!(t, Tell::Lost { .. }));
-    assert_eq!(told, [Tell::Agreed { number: 1 }, lost]);
+    let lost = VoterResponse::Lost { newest: 1, digest: won.digest() };
+    told.sort_by_key(|t| matches!(t, VoterResponse::Lost { .. }));
+    assert_eq!(told, [VoterResponse::Agreed { number: 1 }, lost]);
 }
 
 #[test]
@@ -91,7 +95,7 @@
     let mut v = voters();
     propose(&mut v, 0, 0, 1);
     // Accepted by 0 and 1, which chooses it; then 0 dies before it hears so.
-    pump(&mut v, 0.0, |from, to, w| to == 2 || from == 2 || matches!(w, Word::Accepted { .. }));
+    pump(&mut v, 0.0, |from, to, w| to == 2 || from == 2 || matches!(w, VoterMessage::Accepted { .. }));
     assert!(v.iter().all(|v| v.newest().is_none()));
     for k in 0..20 {
         let now = 1.0 + f64::from(k) * 0.2;
@@ -106,7 +110,7 @@
 fn lost_disk() -> Vec<Voter> {
     let mut v = voters();
     propose(&mut v, 0, 0, 1);
-    pump(&mut v, 0.0, |from, to, w| to == 1 || from == 1 || matches!(w, Word::Accepted { .. }));
+    pump(&mut v, 0.0, |from, to, w| to == 1 || from == 1 || matches!(w, VoterMessage::Accepted { .. }));
     assert!(v[0].durable().accepted.is_some() && v[2].durable().accepted.is_some());
     v[2] = Voter::new(VoterId(2), Durable::lost("f"), READING, 1, 0.0);
     v
@@ -121,7 +125,10 @@
         v[1].tick(now);
         v[2].tick(now);
         let told = pump(&mut v, now, |from, to, _| from == 0 || to == 0);
-        assert!(!told.iter().any(|t| matches!(t, Tell::Agreed { .. })), "1 and 2 chose another content");
+        assert!(
+            !told.iter().any(|t| matches!(t, VoterResponse::Agreed { .. })),
+            "1 and 2 chose another content"
+        );
     }
 }
 
@@ -139,10 +146,13 @@
     }
     // It may have voted for version 2.
     assert_eq!((v[2].durable().newest(), v[2].durable().votes_from), (1, Some(3)));
-    v[2].ask(2.0, 1, Ask::Propose { after: 1, value: value(2), sure: false });
+    v[2].ask(2.0, 1, ClientRequest::Propose { after: 1, value: value(2), sure: false });
     let told = pump(&mut v, 2.0, |from, to, _| from == 0 || to == 0);
-    assert!(matches!(&told[..], [Tell::NotTaken { why }] if why.contains("lost its store")), "{told:?}");
-    let renew = |have| Ask::Renew {
+    assert!(
+        matches!(&told[..], [VoterResponse::NotTaken { why }] if why.contains("lost its store")),
+        "{told:?}"
+    );
+    let renew = |have| ClientRequest::Renew {
         name: "d".into(),
         boot: 1,
         seq: 1,
@@ -150,18 +160,21 @@
         lease: 1.0,
         left: 0.0,
         acts: String::new(),
-        wants: Wants::Document,
+        wants: CatchUp::Document,
     };
     v[2].ask(9.0, 1, renew(1));
-    assert!(matches!(&pump(&mut v, 9.0, |_, _, _| false)[..], [Tell::Refused { .. }]), "it grants nothing");
+    assert!(
+        matches!(&pump(&mut v, 9.0, |_, _, _| false)[..], [VoterResponse::Refused { .. }]),
+        "it grants nothing"
+    );
     // The others go on, and with version 2 it votes again.
     v[0].tick(9.0);
     pump(&mut v, 9.0, |_, _, _| false);
     propose(&mut v, 0, 1, 3);
-    assert_eq!(pump(&mut v, 9.0, |_, _, _| false), [Tell::Agreed { number: 2 }]);
+    assert_eq!(pump(&mut v, 9.0, |_, _, _| false), [VoterResponse::Agreed { number: 2 }]);
     assert!(v[2].durable().votes());
     v[2].ask(99.0, 1, renew(2));
-    assert!(matches!(&pump(&mut v, 99.0, |_, _, _| false)[..], [Tell::Granted { newest: 2, .. }]));
+    assert!(matches!(&pump(&mut v, 99.0, |_, _, _| false)[..], [VoterResponse::Granted { newest: 2, .. }]));
 }
 
 #[test]
@@ -211,7 +224,7 @@
 
 fn list(voters: &mut [Voter], k: usize, after: u64, id: u64, by: &str) {
     let value = Value { id, text: format!("text {id} by {by}") };
-    voters[k].ask(1.0, 1, Ask::Propose { after, value, sure: false });
+    voters[k].ask(1.0, 1, ClientRequest::Propose { after, value, sure: false });
 }
 
 #[test]
@@ -221,7 +234,10 @@
     // 3 has no say in the version that names it, nor a proposal of its own before.
     list(&mut v, 3, 1, 7, "0 1 3");
     let told = pump(&mut v, 1.0, |_, _, _| false);
-    assert_eq!(told, [Tell::NotTaken { why: "this voter is not on the agreed list of voters".into() }]);
+    assert_eq!(
+        told,
+        [VoterResponse::NotTaken { why: "this voter is not on the agreed list of voters".into() }]
+    );
     list(&mut v, 0, 1, 8, "0 1 3");
     assert!(pump(&mut v, 1.0, |from, to, _| [from, to] == [0, 1] || from == 2 || to == 2).is_empty());
     assert_eq!(v[3].durable().newest(), 1);
@@ -233,13 +249,13 @@
     assert_eq!((v[0].durable().newest(), v[3].listed()), (2, true));
     // With 1 gone, 0 and 3 decide; with 0 gone, 2 is no help: it learns of the list, and has no say.
     list(&mut v, 0, 2, 9, "0 1 3");
-    assert_eq!(pump(&mut v, 6.0, |from, to, _| from == 1 || to == 1), [Tell::Agreed { number: 3 }]);
+    assert_eq!(pump(&mut v, 6.0, |from, to, _| from == 1 || to == 1), [VoterResponse::Agreed { number: 3 }]);
     list(&mut v, 3, 3, 10, "0 1 3");
     for k in 0..10 {
         let now = 7.0 + f64::from(k) * 0.5;
         v.iter_mut().for_each(|v| v.tick(now));
         let told = pump(&mut v, now, |from, to, _| [0, 1].contains(&from) || [0, 1].contains(&to));
-        assert!(!told.iter().any(|t| matches!(t, Tell::Agreed { .. })), "2 and 3 decide");
+        assert!(!told.iter().any(|t| matches!(t, VoterResponse::Agreed { .. })), "2 and 3 decide");
     }
     assert!(!v[2].listed() && v[2].durable().newest() == 3);
 }
@@ -280,11 +296,11 @@
     let mut f = Follower::<Texts>::new("d", 1, Some(by(2, "0 1 3")), ());
     let mut say = |now: f64, voter: u8, document: Option<Chosen>| {
         let newest = document.as_ref().map_or(2, |c| c.number);
-        if let Some(Ask::Renew { seq, .. }) = f.ask(now, VoterId(voter)) {
+        if let Some(ClientRequest::Renew { seq, .. }) = f.ask(now, VoterId(voter)) {
             f.heard(
                 now,
                 VoterId(voter),
-                Tell::Granted { seq, newest, pending: false, document, chain: vec![] },
+                VoterResponse::Granted { seq, newest, pending: false, document, chain: vec![] },
             )
             .unwrap();
         }
@@ -304,7 +320,7 @@
     let mut v = and_one_to_join();
     // 0, 1 and 2 accept version 2; 2 alone learns that it is chosen, and may have gone on with 3 by the list it has.
     list(&mut v, 0, 1, 8, "1 2 3");
-    pump(&mut v, 1.0, |_, to, w| matches!(w, Word::Accepted { .. }) && to != 2);
+    pump(&mut v, 1.0, |_, to, w| matches!(w, VoterMessage::Accepted { .. }) && to != 2);
     assert!(v[..3].iter().all(|v| v.durable().accepted.is_some()));
     v[2] = Voter::new(VoterId(2), Durable::lost("f"), READING, 9, 2.0);
     v[2].tick(2.0);
@@ -324,22 +340,24 @@
     let mut v = and_one_to_join();
     list(&mut v, 0, 1, 8, "0 1 2");
     let out = v[0].take_output().1;
-    let Some(Output::Message(_, Word::Prepare { number, ballot })) = out.first() else { panic!("{out:?}") };
+    let Some(Output::Message(_, VoterMessage::Prepare { number, ballot })) = out.first() else {
+        panic!("{out:?}")
+    };
     let (number, ballot) = (*number, *ballot);
-    v[0].hear(1.0, VoterId(3), Word::Promise { number, ballot, accepted: None });
+    v[0].hear(1.0, VoterId(3), VoterMessage::Promise { number, ballot, accepted: None });
     assert_eq!(v[0].take_output().1, [], "no majority with 3");
-    v[0].hear(1.0, VoterId(1), Word::Promise { number, ballot, accepted: None });
+    v[0].hear(1.0, VoterId(1), VoterMessage::Promise { number, ballot, accepted: None });
     assert!(matches!(
         v[0].take_output().1[..],
-        [Output::Message(_, Word::Accept { .. }), Output::Message(..)]
+        [Output::Message(_, VoterMessage::Accept { .. }), Output::Message(..)]
     ));
-    v[0].hear(1.0, VoterId(3), Word::Accepted { number, ballot });
+    v[0].hear(1.0, VoterId(3), VoterMessage::Accepted { number, ballot });
     assert_eq!(v[0].durable().newest(), 1);
     // It could vote for version 3 if it were named.
-    v[3].hear(1.0, VoterId(0), Word::Learn { number: 2, id: 8, text: "text 8 by 0 1 2".into() });
+    v[3].hear(1.0, VoterId(0), VoterMessage::Learn { number: 2, id: 8, text: "text 8 by 0 1 2".into() });
     v[3].take_output();
     assert!(v[3].durable().votes() && !v[3].listed());
-    v[3].hear(1.0, VoterId(0), Word::Prepare { number: 3, ballot });
+    v[3].hear(1.0, VoterId(0), VoterMessage::Prepare { number: 3, ballot });
     assert_eq!(v[3].take_output().1, [], "3 promises nothing");
 }
 
@@ -348,17 +366,17 @@
     let mut v = voters();
     let ballot = Ballot { round: u64::MAX, voter: VoterId(1) };
     let (number, id, text) = (u64::MAX, 1, String::new());
-    v[0].hear(0.0, VoterId(1), Word::Learn { number, id, text: text.clone() });
-    v[0].hear(0.0, VoterId(1), Word::Prepare { number: 1, ballot });
-    v[0].hear(0.0, VoterId(1), Word::Accept { number: 1, ballot, id, text });
-    v[0].hear(0.0, VoterId(1), Word::Refuse { number: 1, promised: ballot });
+    v[0].hear(0.0, VoterId(1), VoterMessage::Learn { number, id, text: text.clone() });
+    v[0].hear(0.0, VoterId(1), VoterMessage::Prepare { number: 1, ballot });
+    v[0].hear(0.0, VoterId(1), VoterMessage::Accept { number: 1, ballot, id, text });
+    v[0].hear(0.0, VoterId(1), VoterMessage::Refuse { number: 1, promised: ballot });
     assert_eq!(v[0].durable(), &Durable::founded("f", &FOUNDERS));
     propose(&mut v, 0, 0, 1);
-    assert_eq!(pump(&mut v, 0.0, |_, _, _| false), [Tell::Agreed { number: 1 }]);
+    assert_eq!(pump(&mut v, 0.0, |_, _, _| false), [VoterResponse::Agreed { number: 1 }]);
     let mut f = Follower::<Texts>::new("d", 1, None, ());
-    let Some(Ask::Renew { seq, .. }) = f.ask(0.0, VoterId(0)) else { panic!() };
+    let Some(ClientRequest::Renew { seq, .. }) = f.ask(0.0, VoterId(0)) else { panic!() };
     let far = Chosen { number: u64::MAX, value: value(1) };
-    let told = Tell::Granted { seq, newest: 1, pending: false, document: Some(far), chain: vec![] };
+    let told = VoterResponse::Granted { seq, newest: 1, pending: false, document: Some(far), chain: vec![] };
     assert!(f.heard(0.0, VoterId(0), told).is_err() && f.known().is_none());
 }
 
@@ -370,11 +388,20 @@
         v[0].ask(
             now,
             1,
-            Ask::Renew { name, boot, seq: 1, have: 0, lease: 1.0, left, acts, wants: Wants::Document },
+            ClientRequest::Renew {
+                name,
+                boot,
+                seq: 1,
+                have: 0,
+                lease: 1.0,
+                left,
+                acts,
+                wants: CatchUp::Document,
+            },
         );
         match v[0].take_output().1.remove(0) {
-            Output::Response(_, Tell::Refused { why, .. }) => why,
-            Output::Response(_, Tell::Granted { .. }) => "granted".to_owned(),
+            Output::Response(_, VoterResponse::Refused { why, .. }) => why,
+            Output::Response(_, VoterResponse::Granted { .. }) => "granted".to_owned(),
             other => format!("{other:?}"),
         }
     };
@@ -404,18 +431,31 @@
         voter.ask(
             now,
             1,
-            Ask::Renew { name, boot: 1, seq: 1, have: 1, lease: 1.0, left, acts, wants: Wants::Document },
+            ClientRequest::Renew {
+                name,
+                boot: 1,
+                seq: 1,
+                have: 1,
+                lease: 1.0,
+                left,
+                acts,
+                wants: CatchUp::Document,
+            },
         );
-        matches!(voter.take_output().1[..], [Output::Response(_, Tell::Granted { .. })])
+        matches!(voter.take_output().1[..], [Output::Response(_, VoterResponse::Granted { .. })])
     };
     assert!(!ask(100.5, "new", 0.0) && ask(100.5, "goes on", 0.3) && ask(101.1, "new", 0.0));
 }
 
 fn granted(f: &mut Follower<Texts>, now: f64, voter: u8, newest: u64, pending: bool, doc: Option<u64>) {
-    if let Some(Ask::Renew { seq, .. }) = f.ask(now, VoterId(voter)) {
+    if let Some(ClientRequest::Renew { seq, .. }) = f.ask(now, VoterId(voter)) {
         let document = doc.map(|number| Chosen { number, value: value(number) });
-        f.heard(now + 0.01, VoterId(voter), Tell::Granted { seq, newest, pending, document, chain: vec![] })
-            .unwrap();
+        f.heard(
+            now + 0.01,
+            VoterId(voter),
+            VoterResponse::Granted { seq, newest, pending, document, chain: vec![] },
+        )
+        .unwrap();
     }
 }
 
@@ -435,8 +475,8 @@
     granted(&mut f, 0.6, 2, 1, false, None);
     assert_eq!(f.acting(0.6).unwrap().until, 0.5 + 0.99);
     // An answer that was on its way for long counts from its question.
-    let Some(Ask::Renew { seq, .. }) = f.ask(1.2, VoterId(1)) else { panic!() };
-    let late = Tell::Granted { seq, newest: 1, pending: false, document: None, chain: vec![] };
+    let Some(ClientRequest::Renew { seq, .. }) = f.ask(1.2, VoterId(1)) else { panic!() };
+    let late = VoterResponse::Granted { seq, newest: 1, pending: false, document: None, chain: vec![] };
     f.heard(2.1, VoterId(1), late).unwrap();
     assert_eq!(f.acting(2.1).unwrap().until, 0.6 + 0.99);
 }
@@ -461,9 +501,11 @@
         (0..3).for_each(|v| granted(&mut f, now, v, 2, false, None));
     }
     // Under a lease it is not taken: whoever has the versions between tells them.
-    let Some(Ask::Renew { seq, wants: Wants::Chain, .. }) = f.ask(3.0, VoterId(1)) else { panic!() };
+    let Some(ClientRequest::Renew { seq, wants: CatchUp::Chain, .. }) = f.ask(3.0, VoterId(1)) else {
+        panic!()
+    };
     let four = Some(Chosen { number: 4, value: value(4) });
-    let told = Tell::Granted { seq, newest: 4, pending: false, document: four, chain: vec![] };
+    let told = VoterResponse::Granted { seq, newest: 4, pending: false, document: four, chain: vec![] };
     expect!["voter 1 shows version 4 and not those after 2: not taken under a lease"]
         .assert_eq(&f.heard(3.01, VoterId(1), told).unwrap_err());
     let a = f.acting(3.1).unwrap();
--- a/crates/kelpdoor-agreement/tests/texts/mod.rs
+++ b/crates/kelpdoor-agreement/tests/texts/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use kelpdoor_agreement::{Reading, Rules, VoterId, lease_of};
+use kelpdoor_agreement::{DocumentReader, Rules, VoterId, lease_of};
 
 /// `.. by 0 1 2 for 14`: who decides after it, by default the first three, and the longest contradiction, by default 2 s.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -53,4 +53,4 @@
     }
 }
 
-pub const READING: Reading = Reading { lease: |text| lease_of(contradiction(text)), voters };
+pub const READING: DocumentReader = DocumentReader { lease: |text| lease_of(contradiction(text)), voters };
--- a/crates/kelpdoor-director/tests/following.rs
+++ b/crates/kelpdoor-director/tests/following.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use kelpdoor_agreement::{Ask, Tell, Value, VoterId};
+use kelpdoor_agreement::{ClientRequest, Value, VoterId, VoterResponse};
 use kelpdoor_clock::Steady;
 use kelpdoor_director::{Following, Ruling};
 use kelpdoor_keeper::{RunningVoter, VoterOptions, start_voter};
@@ -57,14 +57,17 @@
     for _ in 0..20 {
         let mut stream = BufReader::new(TcpStream::connect(at).await.unwrap());
         let value = Value { id: after + 7, text: text.into() };
-        for ask in [Ask::Hello { fleet: "test".to_owned() }, Ask::Propose { after, value, sure: true }] {
+        for ask in [
+            ClientRequest::Hello { fleet: "test".to_owned() },
+            ClientRequest::Propose { after, value, sure: true },
+        ] {
             let line = format!("{}\n", serde_json::to_string(&ask).unwrap());
             stream.get_mut().write_all(line.as_bytes()).await.unwrap();
         }
         let mut lines = stream.lines();
         let _welcome = lines.next_line().await.unwrap();
         let line = lines.next_line().await.unwrap().expect("an answer");
-        if matches!(serde_json::from_str(&line).unwrap(), Tell::Agreed { .. }) {
+        if matches!(serde_json::from_str(&line).unwrap(), VoterResponse::Agreed { .. }) {
             return;
         }
     }
--- a/crates/kelpdoor-keeper/src/line.rs
+++ b/crates/kelpdoor-keeper/src/line.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kelpdoor_agreement::{Ask, MAX_LINE, Tell, VoterId};
+use kelpdoor_agreement::{ClientRequest, MAX_LINE, VoterId, VoterResponse};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -28,12 +28,12 @@
 pub enum Heard {
     /// A connection is up: what was asked on an earlier one is not answered any more.
     Connected,
-    Told(Tell),
+    Told(VoterResponse),
 }
 
 struct Line {
     at: SocketAddr,
-    asks: mpsc::Sender<Ask>,
+    asks: mpsc::Sender<ClientRequest>,
     task: AbortHandle,
 }
 
@@ -83,7 +83,7 @@
     }
 
     /// Dropped where there is no line, or too much waits on it: whoever asks asks again.
-    pub fn ask(&self, voter: VoterId, ask: Ask) {
+    pub fn ask(&self, voter: VoterId, ask: ClientRequest) {
         if let Some(line) = self.all.get(&voter) {
             let _ = line.asks.try_send(ask);
         }
@@ -92,7 +92,7 @@
 
 /// Keeps a connection to the voter in that place, until `asks` or `heard` ends. What it brings goes to `heard`.
 async fn line(
-    address: SocketAddr, fleet: String, place: VoterId, mut asks: mpsc::Receiver<Ask>,
+    address: SocketAddr, fleet: String, place: VoterId, mut asks: mpsc::Receiver<ClientRequest>,
     heard: mpsc::Sender<(VoterId, Heard)>,
 ) {
     let mut wait = WAIT.0;
@@ -127,7 +127,7 @@
     }
 }
 
-async fn write(to: &mut (impl AsyncWriteExt + Unpin), ask: &Ask) -> Result<(), String> {
+async fn write(to: &mut (impl AsyncWriteExt + Unpin), ask: &ClientRequest) -> Result<(), String> {
     let mut text = serde_json::to_vec(ask).expect("plain data");
     text.push(b'\n');
     to.write_all(&text).await.map_err(|e| e.to_string())
@@ -135,12 +135,12 @@
 
 /// One connection to its end; `None` when nobody asks any more.
 async fn talk(
-    stream: TcpStream, fleet: &str, place: VoterId, asks: &mut mpsc::Receiver<Ask>,
+    stream: TcpStream, fleet: &str, place: VoterId, asks: &mut mpsc::Receiver<ClientRequest>,
     heard: &mpsc::Sender<(VoterId, Heard)>,
 ) -> Option<String> {
     let _ = stream.set_nodelay(true);
     let (read, mut to) = stream.into_split();
-    let hello = Ask::Hello { fleet: fleet.to_owned() };
+    let hello = ClientRequest::Hello { fleet: fleet.to_owned() };
     if let Err(why) = write(&mut to, &hello).await {
         return Some(why);
     }
@@ -161,20 +161,20 @@
                     Ok(_) if !line.ends_with(b"\n") => return Some("a line too long or cut short".to_owned()),
                     Ok(_) => {}
                 }
-                let tell = serde_json::from_slice::<Tell>(&line);
+                let tell = serde_json::from_slice::<VoterResponse>(&line);
                 line.clear();
                 came = Instant::now();
                 match tell {
                     Err(e) => return Some(format!("not a word of a voter's: {e}")),
-                    Ok(Tell::Fault(why)) => return Some(why),
-                    Ok(Tell::Welcome { me }) if me != place => {
+                    Ok(VoterResponse::Fault(why)) => return Some(why),
+                    Ok(VoterResponse::Welcome { me }) if me != place => {
                         return Some(format!("the voter there has number {}, not {}", me.0, place.0));
                     }
-                    Ok(Tell::Welcome { .. }) => {
+                    Ok(VoterResponse::Welcome { .. }) => {
                         welcome = true;
                         say(Heard::Connected).await?;
                     }
-                    Ok(Tell::Pong) => {}
+                    Ok(VoterResponse::Pong) => {}
                     Ok(_) if !welcome => return Some("it speaks before it welcomes".to_owned()),
                     Ok(tell) => say(Heard::Told(tell)).await?,
                 }
@@ -192,7 +192,7 @@
                     return Some(format!("nothing heard for {} s", DEAD.as_secs_f64()));
                 }
                 asked = Instant::now();
-                match timeout(DEAD, write(&mut to, &Ask::Ping)).await {
+                match timeout(DEAD, write(&mut to, &ClientRequest::Ping)).await {
                     Err(_) => return Some("it does not read".to_owned()),
                     Ok(Err(why)) => return Some(why),
                     Ok(Ok(())) => {}
--- a/crates/kelpdoor-keeper/src/voter.rs
+++ b/crates/kelpdoor-keeper/src/voter.rs
@@ -10,7 +10,8 @@
 
 use kelpdoor_agreement::keys::may_follow;
 use kelpdoor_agreement::{
-    Ask, Durable, MAX_DOCUMENT, MAX_LINE, Output, Reading, Tell, Voter, VoterId, Word, lease_of,
+    ClientRequest, DocumentReader, Durable, MAX_DOCUMENT, MAX_LINE, Output, Voter, VoterId, VoterMessage,
+    VoterResponse, lease_of,
 };
 use kelpdoor_clock::Steady;
 use kelpdoor_script::{Fault, Shared};
@@ -51,7 +52,7 @@
 }
 
 /// How agreed documents are read. One that does not read, which no voter lets pass, grants no lease and names nobody.
-pub const READING: Reading = Reading {
+pub const READING: DocumentReader = DocumentReader {
     lease: |text| read(text).map_or(UNREAD, |s| lease_of(s.directors.contradiction)),
     voters: |text| {
         read(text).map_or_else(|_| Vec::new(), |s| s.voters.at.keys().copied().map(VoterId).collect())
@@ -103,12 +104,12 @@
 }
 
 enum Come {
-    Socket(Came<Ask, Tell>),
+    Socket(Came<ClientRequest, VoterResponse>),
     End,
 }
 
-impl From<Came<Ask, Tell>> for Come {
-    fn from(came: Came<Ask, Tell>) -> Self {
+impl From<Came<ClientRequest, VoterResponse>> for Come {
+    fn from(came: Came<ClientRequest, VoterResponse>) -> Self {
         Come::Socket(came)
     }
 }
@@ -176,7 +177,12 @@
     let (to, from) = mpsc::channel(ASKS);
     let mut tasks = JoinSet::new();
     let (heard, said) = mpsc::channel(WORDS);
-    tasks.spawn(accept::<Ask, Tell, Come>(listener, to.clone(), MAX_LINE, Tell::Fault));
+    tasks.spawn(accept::<ClientRequest, VoterResponse, Come>(
+        listener,
+        to.clone(),
+        MAX_LINE,
+        VoterResponse::Fault,
+    ));
     let peers = Lines::new(&fleet, heard);
     let mut shell = Shell {
         me: options.me,
@@ -215,7 +221,7 @@
     first: BTreeMap<u8, SocketAddr>,
     reach: BTreeMap<u8, SocketAddr>,
     peers: Lines,
-    conns: HashMap<u64, mpsc::Sender<Tell>>,
+    conns: HashMap<u64, mpsc::Sender<VoterResponse>>,
     /// Connections that named our fleet.
     welcome: HashSet<u64>,
     /// By voter, the connection on which it last spoke: the way back to one that there is no line to.
@@ -257,7 +263,7 @@
             let now = self.steady.now();
             let mut end = false;
             self.voter.tick(now);
-            if let Some((place, Heard::Told(Tell::Voter { word }))) = word {
+            if let Some((place, Heard::Told(VoterResponse::Voter { word }))) = word {
                 self.hear(now, place, word);
             }
             if let Some(first) = first {
@@ -305,23 +311,23 @@
         for o in out {
             match o {
                 Output::Message(to, word) if self.peers.has(to) => {
-                    self.peers.ask(to, Ask::Voter { from, word })
+                    self.peers.ask(to, ClientRequest::Voter { from, word })
                 }
                 Output::Message(to, word) => {
                     if let Some(conn) = self.asked_on.get(&to).copied() {
-                        self.tell(conn, Tell::Voter { word });
+                        self.tell(conn, VoterResponse::Voter { word });
                     }
                 }
                 Output::Broadcast(word) => {
                     let all = self.peers.voters();
-                    all.for_each(|to| self.peers.ask(to, Ask::Voter { from, word: word.clone() }));
+                    all.for_each(|to| self.peers.ask(to, ClientRequest::Voter { from, word: word.clone() }));
                 }
                 Output::Response(conn, tell) => self.tell(conn, tell),
             }
         }
     }
 
-    fn tell(&mut self, conn: u64, tell: Tell) {
+    fn tell(&mut self, conn: u64, tell: VoterResponse) {
         if self.conns.get(&conn).is_some_and(|to| to.try_send(tell).is_err()) {
             // It does not read: closed.
             self.conns.remove(&conn);
@@ -345,28 +351,30 @@
         false
     }
 
-    fn asked(&mut self, now: f64, conn: u64, ask: Ask) {
+    fn asked(&mut self, now: f64, conn: u64, ask: ClientRequest) {
         match ask {
-            Ask::Hello { fleet } if fleet == self.fleet => {
+            ClientRequest::Hello { fleet } if fleet == self.fleet => {
                 self.welcome.insert(conn);
-                self.tell(conn, Tell::Welcome { me: self.me });
+                self.tell(conn, VoterResponse::Welcome { me: self.me });
             }
-            Ask::Hello { fleet } => {
+            ClientRequest::Hello { fleet } => {
                 tracing::warn!(conn, %fleet, "of another fleet");
                 let why = format!("this is a voter of fleet {:?}, not of {fleet:?}", self.fleet);
-                self.tell(conn, Tell::Fault(why));
+                self.tell(conn, VoterResponse::Fault(why));
                 self.conns.remove(&conn);
             }
             _ if !self.welcome.contains(&conn) => {
-                self.tell(conn, Tell::Fault("the first line names the fleet".to_owned()));
+                self.tell(conn, VoterResponse::Fault("the first line names the fleet".to_owned()));
                 self.conns.remove(&conn);
             }
-            Ask::Ping => self.tell(conn, Tell::Pong),
-            Ask::Propose { after, value, sure } => match self.may_follow(now, after, &value.text, sure) {
-                Err(why) => self.tell(conn, Tell::NotTaken { why }),
-                Ok(()) => self.voter.ask(now, conn, Ask::Propose { after, value, sure }),
-            },
-            Ask::Voter { from, word } => {
+            ClientRequest::Ping => self.tell(conn, VoterResponse::Pong),
+            ClientRequest::Propose { after, value, sure } => {
+                match self.may_follow(now, after, &value.text, sure) {
+                    Err(why) => self.tell(conn, VoterResponse::NotTaken { why }),
+                    Ok(()) => self.voter.ask(now, conn, ClientRequest::Propose { after, value, sure }),
+                }
+            }
+            ClientRequest::Voter { from, word } => {
                 if self.asked_on.contains_key(&from) || self.asked_on.len() < ASKED_ON {
                     self.asked_on.insert(from, conn);
                 }
@@ -376,9 +384,9 @@
         }
     }
 
-    fn hear(&mut self, now: f64, from: VoterId, word: Word) {
+    fn hear(&mut self, now: f64, from: VoterId, word: VoterMessage) {
         // A version that does not read would leave nobody to decide the next one. No voter of ours says such.
-        if let Word::Learn { number, text, .. } = &word
+        if let VoterMessage::Learn { number, text, .. } = &word
             && *number > self.voter.durable().newest()
             && let Err(faults) = read(text)
         {
--- a/crates/kelpdoor-keeper/tests/voter.rs
+++ b/crates/kelpdoor-keeper/tests/voter.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use kelpdoor_agreement::{Ask, Ballot, MAX_LINE, Tell, Value, VoterId, Word};
+use kelpdoor_agreement::{Ballot, ClientRequest, MAX_LINE, Value, VoterId, VoterMessage, VoterResponse};
 use kelpdoor_keeper::{RunningVoter, VoterOptions, start_voter};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
@@ -54,8 +54,8 @@
 
     async fn new(at: SocketAddr) -> Client {
         let mut client = Client::raw(at).await;
-        client.say(&Ask::Hello { fleet: "test".to_owned() }).await;
-        assert!(matches!(client.hear().await, Some(Tell::Welcome { .. })));
+        client.say(&ClientRequest::Hello { fleet: "test".to_owned() }).await;
+        assert!(matches!(client.hear().await, Some(VoterResponse::Welcome { .. })));
         client
     }
 
@@ -64,13 +64,13 @@
         let _ = self.0.get_mut().write_all(bytes).await;
     }
 
-    async fn say(&mut self, ask: &Ask) {
+    async fn say(&mut self, ask: &ClientRequest) {
         let mut text = serde_json::to_vec(ask).unwrap();
         text.push(b'\n');
         self.bytes(&text).await;
     }
 
-    async fn hear(&mut self) -> Option<Tell> {
+    async fn hear(&mut self) -> Option<VoterResponse> {
         let mut line = String::new();
         match self.0.read_line(&mut line).await {
             Ok(0) | Err(_) => None,
@@ -78,14 +78,14 @@
         }
     }
 
-    async fn ask(&mut self, ask: &Ask) -> Tell {
+    async fn ask(&mut self, ask: &ClientRequest) -> VoterResponse {
         self.say(ask).await;
         self.hear().await.expect("an answer")
     }
 
-    async fn propose(&mut self, after: u64, text: &str) -> Tell {
+    async fn propose(&mut self, after: u64, text: &str) -> VoterResponse {
         let value = Value { id: fastrand::u64(..), text: text.into() };
-        self.ask(&Ask::Propose { after, value, sure: false }).await
+        self.ask(&ClientRequest::Propose { after, value, sure: false }).await
     }
 }
 
@@ -112,9 +112,9 @@
     let mut client = Client::new(at).await;
     for _ in 0..1000 {
         match client.propose(after, text).await {
-            Tell::Agreed { number } => return number,
+            VoterResponse::Agreed { number } => return number,
             // Asked again, as an operator would.
-            Tell::Unknown { .. } | Tell::NotTaken { .. } => {
+            VoterResponse::Unknown { .. } | VoterResponse::NotTaken { .. } => {
                 tokio::time::sleep(std::time::Duration::from_millis(20)).await;
             }
             other => panic!("{other:?}"),
@@ -130,18 +130,20 @@
     assert_eq!(agree(at[0], 0, DOCUMENT).await, 1);
 
     let mut other = Client::raw(at[0]).await;
-    other.say(&Ask::Hello { fleet: "other".to_owned() }).await;
+    other.say(&ClientRequest::Hello { fleet: "other".to_owned() }).await;
     let why = "this is a voter of fleet \"test\", not of \"other\"";
-    assert_eq!(other.hear().await, Some(Tell::Fault(why.into())));
+    assert_eq!(other.hear().await, Some(VoterResponse::Fault(why.into())));
     assert_eq!(other.hear().await, None, "closed");
 
     let mut rude = Client::raw(at[0]).await;
-    rude.say(&Ask::Standing).await;
-    assert_eq!(rude.hear().await, Some(Tell::Fault("the first line names the fleet".into())));
+    rude.say(&ClientRequest::Status).await;
+    assert_eq!(rude.hear().await, Some(VoterResponse::Fault("the first line names the fleet".into())));
 
     let mut garbled = Client::new(at[0]).await;
     garbled.bytes(b"{\"renew\":{\"name\":7}}\n").await;
-    assert!(matches!(garbled.hear().await, Some(Tell::Fault(why)) if why.starts_with("not a message: ")));
+    assert!(
+        matches!(garbled.hear().await, Some(VoterResponse::Fault(why)) if why.starts_with("not a message: "))
+    );
 
     let mut endless = Client::new(at[0]).await;
     let part = vec![b'x'; 1 << 16];
@@ -155,10 +157,13 @@
     let mut client = Client::new(at[0]).await;
     // A version from nowhere, which is none.
     client
-        .say(&Ask::Voter { from: VoterId(9), word: Word::Learn { number: 7, id: 1, text: "no".into() } })
+        .say(&ClientRequest::Voter {
+            from: VoterId(9),
+            word: VoterMessage::Learn { number: 7, id: 1, text: "no".into() },
+        })
         .await;
     let mut refused = async |after: u64, text: &str| match client.propose(after, text).await {
-        Tell::NotTaken { why } => why,
+        VoterResponse::NotTaken { why } => why,
         other => panic!("{other:?}"),
     };
     assert_eq!(refused(1, &" ".repeat(300_000)).await, "the document has 300000 bytes, 262144 at most");
@@ -168,8 +173,11 @@
     let rungs = DOCUMENT.replace("221", "300");
     assert!(refused(1, &rungs).await.starts_with("ladder.rates: it cannot change while the fleet runs"));
     assert_eq!(refused(7, DOCUMENT).await, "version 7 is not known here, the newest is 1");
-    assert!(matches!(client.propose(0, DOCUMENT).await, Tell::Lost { newest: 1, .. }));
-    assert!(matches!(client.ask(&Ask::Standing).await, Tell::Standing { newest: 1, votes: true, .. }));
+    assert!(matches!(client.propose(0, DOCUMENT).await, VoterResponse::Lost { newest: 1, .. }));
+    assert!(matches!(
+        client.ask(&ClientRequest::Status).await,
+        VoterResponse::Status { newest: 1, votes: true, .. }
+    ));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -179,14 +187,14 @@
     assert_eq!(agree(at[0], 0, DOCUMENT).await, 1);
     let next = DOCUMENT.replace("\"127.0.0.1:3\"]", "\"127.0.0.1:3\", \"127.0.0.1:4\", \"127.0.0.1:5\"]");
     let mut client = Client::new(at[0]).await;
-    let Tell::NotTaken { why } = client.propose(1, &next).await else { panic!("taken") };
+    let VoterResponse::NotTaken { why } = client.propose(1, &next).await else { panic!("taken") };
     assert_eq!(why, "voters.at: not heard of yet as ready to vote: 3, 4; start them first, or say --sure");
     let other = DOCUMENT.replace(
         "[\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]",
         "{\"0\": \"127.0.0.1:1\",
         \"7\": \"127.0.0.1:2\", \"8\": \"127.0.0.1:3\"}",
     );
-    let Tell::NotTaken { why } = client.propose(1, &other).await else { panic!("taken") };
+    let VoterResponse::NotTaken { why } = client.propose(1, &other).await else { panic!("taken") };
     assert_eq!(why, "voters.at: 2 of 3 voters would go at once; say --sure if so");
     for me in [3, 4] {
         std::fs::create_dir(dir.path().join(me.to_string())).unwrap();
@@ -254,7 +262,9 @@
     let next = format!("{DOCUMENT}# second\n");
     // Asked of the one that cannot write: no answer, for none would rest on anything.
     let mut client = Client::new(at[0]).await;
-    client.say(&Ask::Propose { after: 1, value: Value { id: 5, text: next.clone() }, sure: false }).await;
+    client
+        .say(&ClientRequest::Propose { after: 1, value: Value { id: 5, text: next.clone() }, sure: false })
+        .await;
     assert_eq!(client.hear().await, None);
     let why = voters[0].ended().await.unwrap_err();
     assert!(why.contains("No such file"), "{why}");
@@ -273,7 +283,7 @@
     let mut voter = start_voter(VoterOptions { listen, ..options(0, &at, dir.path(), true) }).await.unwrap();
     let (stream, _) = other.accept().await.unwrap();
     let mut from = Client(BufReader::new(stream));
-    let mut welcome = serde_json::to_vec(&Tell::Welcome { me: VoterId(1) }).unwrap();
+    let mut welcome = serde_json::to_vec(&VoterResponse::Welcome { me: VoterId(1) }).unwrap();
     welcome.push(b'\n');
     from.bytes(&welcome).await;
     let mut words = async || loop {
@@ -281,8 +291,8 @@
         match from.0.read_line(&mut line).await {
             Ok(0) | Err(_) => return None,
             Ok(_) => {
-                if let Ok(Ask::Voter { word, .. }) = serde_json::from_str(&line)
-                    && !matches!(word, Word::Want { .. })
+                if let Ok(ClientRequest::Voter { word, .. }) = serde_json::from_str(&line)
+                    && !matches!(word, VoterMessage::Want { .. })
                 {
                     return Some(word);
                 }
@@ -291,10 +301,12 @@
     };
     let mut client = Client::new(voter.address).await;
     let ballot = |round| Ballot { round, voter: VoterId(1) };
-    let prepare =
-        |round| Ask::Voter { from: VoterId(1), word: Word::Prepare { number: 1, ballot: ballot(round) } };
+    let prepare = |round| ClientRequest::Voter {
+        from: VoterId(1),
+        word: VoterMessage::Prepare { number: 1, ballot: ballot(round) },
+    };
     client.say(&prepare(1)).await;
-    assert_eq!(words().await, Some(Word::Promise { number: 1, ballot: ballot(1), accepted: None }));
+    assert_eq!(words().await, Some(VoterMessage::Promise { number: 1, ballot: ballot(1), accepted: None }));
     let kept = std::fs::read_to_string(store(0, dir.path())).unwrap();
     assert!(kept.contains(r#""promised":{"round":1,"voter":1}"#), "promised, and not on disk: {kept}");
     std::fs::remove_dir_all(dir.path().join("0")).unwrap();
--- a/crates/kelpdoor-lab/src/scale/changes.rs
+++ b/crates/kelpdoor-lab/src/scale/changes.rs
@@ -11,7 +11,7 @@
 use anyhow::{Result, ensure};
 use clap::Args;
 use fastrand::Rng;
-use kelpdoor_agreement::Tell;
+use kelpdoor_agreement::VoterResponse;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
@@ -420,14 +420,14 @@
         desk.out.borrow_mut().proposals += 1;
         let told = async { Operator::to(desk.voters.at[at]).await?.propose(after, id, &text).await };
         match told.await {
-            Ok(Tell::Agreed { number }) => {
+            Ok(VoterResponse::Agreed { number }) => {
                 desk.newest.set(desk.newest.get().max(number));
                 let now = desk.hollows.now();
                 desk.out.borrow_mut().decided.push(now - first);
                 desk.hollows.board(|b| b.agreed(number, first, now));
                 return;
             }
-            Ok(Tell::Lost { newest, .. }) => {
+            Ok(VoterResponse::Lost { newest, .. }) => {
                 desk.out.borrow_mut().lost += 1;
                 desk.newest.set(desk.newest.get().max(newest));
                 (after, id, at) = (newest, fastrand::u64(..), 0);
--- a/crates/kelpdoor-lab/src/scale/follow.rs
+++ b/crates/kelpdoor-lab/src/scale/follow.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use kelpdoor_agreement::{Ask, Reading, Rules, Tell, VoterId, lease_of};
+use kelpdoor_agreement::{ClientRequest, DocumentReader, Rules, VoterId, VoterResponse, lease_of};
 
 /// Versions that a board counts at most; a run has some thousands.
 const VERSIONS: u64 = 100_000;
 
 /// Of a document its first line alone is read, as [`head`] writes it.
-pub const FIRST_LINE: Reading = Reading {
+pub const FIRST_LINE: DocumentReader = DocumentReader {
     lease: |text| first_line(text).map_or(0.0, |(contradiction, _)| lease_of(contradiction)),
     voters: |text| first_line(text).map(|(_, voters)| voters).unwrap_or_default(),
 };
@@ -276,12 +276,12 @@
 }
 
 /// Whether an answer brings no more than leave to go on: no document, and nothing of one.
-pub fn plain(of: &Tell) -> bool {
-    matches!(of, Tell::Granted { document: None, chain, .. } if chain.is_empty())
+pub fn plain(of: &VoterResponse) -> bool {
+    matches!(of, VoterResponse::Granted { document: None, chain, .. } if chain.is_empty())
 }
 
 /// The questions that are due: asked for only then, as each call names what is acted on, with its sums.
-pub fn asks(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, Ask)> {
+pub fn asks(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
     let at = of.ask_at();
     if at > now && at < f64::INFINITY {
         return Vec::new();
@@ -290,7 +290,7 @@
 }
 
 /// What a real director's loop does of this each time it looks at its voters.
-pub fn as_a_director(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, Ask)> {
+pub fn as_a_director(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
     let all = (0..voters as u8).map(VoterId).filter_map(|v| Some((v, of.ask(now, v)?))).collect();
     std::hint::black_box(of.acting(now).map(|a| a.label()));
     all
--- a/crates/kelpdoor-lab/src/scale/hollow.rs
+++ b/crates/kelpdoor-lab/src/scale/hollow.rs
@@ -9,7 +9,7 @@
 
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
-use kelpdoor_agreement::{Ask, MAX_LINE, Tell, VoterId};
+use kelpdoor_agreement::{ClientRequest, MAX_LINE, VoterId, VoterResponse};
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::TcpStream;
@@ -269,25 +269,25 @@
         let quiet = |w: &Way| w.welcome && w.asked.elapsed() >= PING;
         let all: Vec<usize> =
             self.ways.borrow().iter().enumerate().filter(|(_, w)| quiet(w)).map(|(v, _)| v).collect();
-        all.into_iter().for_each(|v| self.send(v, &Ask::Ping));
+        all.into_iter().for_each(|v| self.send(v, &ClientRequest::Ping));
     }
 
     /// Dropped where there is no connection: whoever asks asks again.
-    fn send(&self, v: usize, ask: &Ask) {
+    fn send(&self, v: usize, ask: &ClientRequest) {
         let mut ways = self.ways.borrow_mut();
         let Some(way) = ways.get_mut(v) else { return };
-        let first = matches!(ask, Ask::Hello { .. });
+        let first = matches!(ask, ClientRequest::Hello { .. });
         let Some(stream) = way.stream.clone().filter(|_| way.welcome || first) else { return };
         let Ok(mut text) = serde_json::to_vec(ask) else { return };
         text.push(b'\n');
         // A question is short: it goes whole, or the voter has not read for long and closes the line.
         let Ok(n) = stream.try_write(&text) else { return };
         way.asked = Instant::now();
-        if let Ask::Renew { seq, .. } = ask {
+        if let ClientRequest::Renew { seq, .. } = ask {
             way.sent = Some((*seq, way.asked));
         }
         self.group.count(v, |t| {
-            t.seen.asked += u64::from(matches!(ask, Ask::Renew { .. }));
+            t.seen.asked += u64::from(matches!(ask, ClientRequest::Renew { .. }));
             t.seen.bytes.0 += n as u64;
             t.seen.words.0 += 1;
         });
@@ -306,7 +306,7 @@
                 if let Some(w) = self.ways.borrow_mut().get_mut(v) {
                     (w.stream, w.welcome, w.sent) = (Some(stream.clone()), false, None);
                 }
-                self.send(v, &Ask::Hello { fleet: self.group.spec.fleet.clone() });
+                self.send(v, &ClientRequest::Hello { fleet: self.group.spec.fleet.clone() });
                 self.read(v, &stream).await;
                 if let Some(w) = self.ways.borrow_mut().get_mut(v) {
                     (w.stream, w.welcome) = (None, false);
@@ -349,7 +349,7 @@
                     break;
                 }
                 let line = if rest.is_empty() { part } else { &rest[..] };
-                match serde_json::from_slice::<Tell>(line) {
+                match serde_json::from_slice::<VoterResponse>(line) {
                     Ok(tell) => tells.push(tell),
                     Err(_) => good = false,
                 }
@@ -368,18 +368,18 @@
     }
 
     /// Whether the connection stays.
-    fn heard(&self, v: usize, tell: Tell) -> bool {
+    fn heard(&self, v: usize, tell: VoterResponse) -> bool {
         self.group.count(v, |t| t.seen.words.1 += 1);
         let voter = VoterId(v as u8);
         match tell {
-            Tell::Welcome { me } if me == voter => {
+            VoterResponse::Welcome { me } if me == voter => {
                 if let Some(w) = self.ways.borrow_mut().get_mut(v) {
                     w.welcome = true;
                 }
                 self.follower.borrow_mut().connected(voter);
             }
-            Tell::Welcome { .. } | Tell::Fault(_) => return false,
-            Tell::Pong => return true,
+            VoterResponse::Welcome { .. } | VoterResponse::Fault(_) => return false,
+            VoterResponse::Pong => return true,
             tell => {
                 self.answered(v, &tell);
                 // What is wrong with an answer is a real director's to log.
@@ -390,10 +390,10 @@
         true
     }
 
-    fn answered(&self, v: usize, tell: &Tell) {
+    fn answered(&self, v: usize, tell: &VoterResponse) {
         let granted = match tell {
-            Tell::Granted { seq, .. } => Some((*seq, true)),
-            Tell::Refused { seq, .. } => Some((*seq, false)),
+            VoterResponse::Granted { seq, .. } => Some((*seq, true)),
+            VoterResponse::Refused { seq, .. } => Some((*seq, false)),
             _ => None,
         };
         let Some((seq, granted)) = granted else { return };
@@ -412,7 +412,7 @@
                 t.firsts.get_or_insert_with(times).saturating_record(since);
             }
         });
-        if let Tell::Refused { why, .. } = tell {
+        if let VoterResponse::Refused { why, .. } = tell {
             let mut refused = self.group.refused.borrow_mut();
             if refused.len() < KINDS || refused.contains_key(why) {
                 *refused.entry(why.clone()).or_default() += 1;
--- a/crates/kelpdoor-lab/src/scale/simulate.rs
+++ b/crates/kelpdoor-lab/src/scale/simulate.rs
@@ -5,7 +5,9 @@
 use std::time::Instant;
 
 use fastrand::Rng;
-use kelpdoor_agreement::{Ask, Durable, Output, Tell, Value, Voter, VoterId, Word};
+use kelpdoor_agreement::{
+    ClientRequest, Durable, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
+};
 
 use super::follow::{self, Board, FIRST_LINE, Follower};
 
@@ -116,9 +118,9 @@
 
 #[derive(Debug)]
 enum Event {
-    Word(usize, VoterId, Word),
-    Asked(usize, u64, Ask),
-    Told(usize, usize, Tell),
+    Word(usize, VoterId, VoterMessage),
+    Asked(usize, u64, ClientRequest),
+    Told(usize, usize, VoterResponse),
     Tick(usize),
     /// A director's question is due, or what it may do changes by itself.
     Due(usize),
@@ -126,7 +128,7 @@
     Change,
     /// An operator proposes, to that voter.
     Propose(u64, usize),
-    Outcome(u64, Tell),
+    Outcome(u64, VoterResponse),
 }
 
 /// By time, then by number.
@@ -386,17 +388,17 @@
             self.out.given_up += 1;
             return;
         }
-        let ask = Ask::Propose { after: o.after, value: o.value.clone(), sure: false };
+        let ask = ClientRequest::Propose { after: o.after, value: o.value.clone(), sure: false };
         let late = LATE.0 + (LATE.1 - LATE.0) * self.rng.f64();
         self.out.proposals += u64::from(self.t >= self.span.0);
         self.at(self.t + late, Event::Asked(k, OPERATORS + n, ask));
     }
 
-    fn outcome(&mut self, n: u64, tell: Tell) {
+    fn outcome(&mut self, n: u64, tell: VoterResponse) {
         let home = self.home();
         let Some(o) = self.operators.get_mut(&n) else { return };
         match tell {
-            Tell::Agreed { number } => {
+            VoterResponse::Agreed { number } => {
                 let first = o.first;
                 self.operators.remove(&n);
                 self.board.agreed(number, first, self.t);
@@ -410,14 +412,14 @@
                     }
                 }
             }
-            Tell::Lost { newest, .. } => {
+            VoterResponse::Lost { newest, .. } => {
                 // Made anew from what came first, and proposed at once.
                 o.after = newest;
                 o.value.id = self.rng.u64(..);
                 self.out.lost += u64::from(self.t >= self.span.0);
                 self.at(self.t, Event::Propose(n, home));
             }
-            Tell::NotTaken { .. } | Tell::Unknown { .. } => {
+            VoterResponse::NotTaken { .. } | VoterResponse::Unknown { .. } => {
                 // The same at the next voter, as the daemon's own command does; after the last one, after a while.
                 let next = (home + o.tries as usize) % self.plan.voters;
                 let next = if self.plan.cut && next == 0 { home } else { next };
@@ -460,7 +462,7 @@
                     self.count(f, &tell, !plain);
                 }
                 let now = self.local(self.plan.voters + f);
-                if let Tell::Refused { why, .. } = &tell
+                if let VoterResponse::Refused { why, .. } = &tell
                     && (self.span.0..self.span.1).contains(&self.t)
                     && (self.out.refused.len() < KINDS || self.out.refused.contains_key(why))
                 {
@@ -600,7 +602,7 @@
     let lease = kelpdoor_agreement::lease_of(contradiction);
     let (mut spent, mut now) = (0.0, 0.0);
     for v in &mut sim.voters {
-        let word = Word::Learn { number: 1, id: 1, text: text.clone() };
+        let word = VoterMessage::Learn { number: 1, id: 1, text: text.clone() };
         v.hear(0.0, ids[0], word);
         v.take_output();
     }
--- a/crates/kelpdoor-lab/src/scale/voters.rs
+++ b/crates/kelpdoor-lab/src/scale/voters.rs
@@ -10,7 +10,7 @@
 use anyhow::{Context, Result, bail, ensure};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
-use kelpdoor_agreement::{Ask, Tell, Value};
+use kelpdoor_agreement::{ClientRequest, Value, VoterResponse};
 use tempfile::TempDir;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::net::{TcpListener, TcpStream};
@@ -393,9 +393,9 @@
         let mut operator = Operator::to(self.at[0]).await?;
         loop {
             match operator.propose(0, fastrand::u64(..), &text).await? {
-                Tell::Agreed { .. } => return Ok(()),
+                VoterResponse::Agreed { .. } => return Ok(()),
                 // The voters have not found each other yet.
-                Tell::NotTaken { .. } | Tell::Unknown { .. } if Instant::now() < until => {
+                VoterResponse::NotTaken { .. } | VoterResponse::Unknown { .. } if Instant::now() < until => {
                     sleep(Duration::from_millis(50)).await;
                 }
                 other => bail!("the first document: {other:?}"),
@@ -412,13 +412,13 @@
     /// Where no voter is there.
     pub async fn to(at: SocketAddr) -> Result<Operator> {
         let mut operator = Operator(BufReader::new(TcpStream::connect(at).await?));
-        match operator.ask(&Ask::Hello { fleet: FLEET.to_owned() }).await? {
-            Tell::Welcome { .. } => Ok(operator),
+        match operator.ask(&ClientRequest::Hello { fleet: FLEET.to_owned() }).await? {
+            VoterResponse::Welcome { .. } => Ok(operator),
             other => bail!("no welcome: {other:?}"),
         }
     }
 
-    async fn ask(&mut self, ask: &Ask) -> Result<Tell> {
+    async fn ask(&mut self, ask: &ClientRequest) -> Result<VoterResponse> {
         let mut text = serde_json::to_vec(ask)?;
         text.push(b'\n');
         let mut line = String::new();
@@ -432,9 +432,9 @@
 
     /// # Errors
     /// Where the voter does not answer.
-    pub async fn propose(&mut self, after: u64, id: u64, text: &str) -> Result<Tell> {
+    pub async fn propose(&mut self, after: u64, id: u64, text: &str) -> Result<VoterResponse> {
         let value = Value { id, text: text.to_owned() };
-        self.ask(&Ask::Propose { after, value, sure: false }).await
+        self.ask(&ClientRequest::Propose { after, value, sure: false }).await
     }
 }
 
--- a/crates/kelpdoord/src/agreed.rs
+++ b/crates/kelpdoord/src/agreed.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, Result, bail};
 use kelpdoor_agreement::keys::{self, Change, may_follow};
-use kelpdoor_agreement::{Ask, Chosen, DirectorStanding, MAX_LINE, Tell, Value, VoterId};
+use kelpdoor_agreement::{Chosen, ClientRequest, DirectorStatus, MAX_LINE, Value, VoterId, VoterResponse};
 use kelpdoor_director::{Following, kept, pools};
 use kelpdoor_keeper::{Sold, addresses, read};
 use kelpdoor_script::{Agreement, Own, Shared};
@@ -67,8 +67,8 @@
     /// The newest version of each voter that answers soon; all are asked at once, so that one that stands still holds up
     /// nothing.
     fn standing(&self) -> Vec<(VoterId, u64)> {
-        let ask = |k: VoterId| match self.ask_within(k, &Ask::Standing, LOOK) {
-            Ok(Tell::Standing { newest, .. }) => Some((k, newest)),
+        let ask = |k: VoterId| match self.ask_within(k, &ClientRequest::Status, LOOK) {
+            Ok(VoterResponse::Status { newest, .. }) => Some((k, newest)),
             _ => None,
         };
         std::thread::scope(|s| {
@@ -86,8 +86,8 @@
             if n <= newest.as_ref().map_or(0, |c| c.number) {
                 break;
             }
-            if let Ok(Tell::Content { found: Some(c) }) =
-                self.ask_within(k, &Ask::Content { number: n }, LOOK)
+            if let Ok(VoterResponse::Content { found: Some(c) }) =
+                self.ask_within(k, &ClientRequest::Content { number: n }, LOOK)
             {
                 newest = Some(c);
             }
@@ -108,37 +108,37 @@
     }
 
     /// A voter's answer.
-    fn ask(&self, k: VoterId, ask: &Ask) -> Result<Tell> {
+    fn ask(&self, k: VoterId, ask: &ClientRequest) -> Result<VoterResponse> {
         self.ask_within(k, ask, ANSWER)
     }
 
-    fn ask_within(&self, k: VoterId, ask: &Ask, wait: Duration) -> Result<Tell> {
+    fn ask_within(&self, k: VoterId, ask: &ClientRequest, wait: Duration) -> Result<VoterResponse> {
         let at = *self.at.get(&k).context("no such voter")?;
         let k = k.0;
         let mut stream =
             TcpStream::connect_timeout(&at, CONNECT).with_context(|| format!("voter {k} at {at}"))?;
         stream.set_read_timeout(Some(wait))?;
         stream.set_write_timeout(Some(CONNECT))?;
-        let mut text = serde_json::to_vec(&Ask::Hello { fleet: self.own.fleet.clone() })?;
+        let mut text = serde_json::to_vec(&ClientRequest::Hello { fleet: self.own.fleet.clone() })?;
         text.push(b'\n');
         serde_json::to_writer(&mut text, ask)?;
         text.push(b'\n');
         stream.write_all(&text)?;
         let mut lines = BufReader::new(stream).take(4 * MAX_LINE as u64);
-        let mut next = || -> Result<Tell> {
+        let mut next = || -> Result<VoterResponse> {
             let mut line = String::new();
             let n = lines.read_line(&mut line).with_context(|| format!("voter {k} at {at}: no answer"))?;
             if n == 0 {
                 bail!("voter {k} at {at}: no answer");
             }
             match serde_json::from_str(&line).with_context(|| format!("voter {k} at {at}"))? {
-                Tell::Fault(why) => bail!("voter {k} at {at}: {why}"),
+                VoterResponse::Fault(why) => bail!("voter {k} at {at}: {why}"),
                 tell => Ok(tell),
             }
         };
         match next()? {
-            Tell::Welcome { me } if me.0 == k => next(),
-            Tell::Welcome { me } => bail!("the voter at {at} has number {}, not {k}", me.0),
+            VoterResponse::Welcome { me } if me.0 == k => next(),
+            VoterResponse::Welcome { me } => bail!("the voter at {at} has number {}, not {k}", me.0),
             other => bail!("voter {k} at {at} answers with something else: {other:?}"),
         }
     }
@@ -147,8 +147,8 @@
     pub fn content(&self, number: u64) -> Result<Chosen> {
         let mut why = anyhow::anyhow!("no voter has version {number} any more");
         for k in self.at.keys() {
-            match self.ask(*k, &Ask::Content { number }) {
-                Ok(Tell::Content { found: Some(c) }) => return Ok(c),
+            match self.ask(*k, &ClientRequest::Content { number }) {
+                Ok(VoterResponse::Content { found: Some(c) }) => return Ok(c),
                 Ok(_) => {}
                 Err(e) => why = why.context(e),
             }
@@ -192,15 +192,15 @@
         let value = Value { id: fastrand::u64(..), text: text.to_owned() };
         let mut why = Vec::new();
         for k in self.deciding() {
-            match self.ask(k, &Ask::Propose { after, value: value.clone(), sure }) {
-                Ok(Tell::Agreed { number }) => {
+            match self.ask(k, &ClientRequest::Propose { after, value: value.clone(), sure }) {
+                Ok(VoterResponse::Agreed { number }) => {
                     println!("agreed {}", Chosen { number, value }.label());
                     return Ok(());
                 }
-                Ok(Tell::Lost { newest, digest }) => {
+                Ok(VoterResponse::Lost { newest, digest }) => {
                     bail!("another proposal came first: the newest version is {newest}/{digest}")
                 }
-                Ok(Tell::NotTaken { why: w } | Tell::Unknown { why: w }) => {
+                Ok(VoterResponse::NotTaken { why: w } | VoterResponse::Unknown { why: w }) => {
                     why.push(format!("voter {}: {w}", k.0))
                 }
                 Ok(other) => why.push(format!("voter {} answers with something else: {other:?}", k.0)),
@@ -212,13 +212,13 @@
 
     pub fn show(&self, json: bool) -> Result<()> {
         let mut voters = Vec::new();
-        let mut directors: BTreeMap<String, DirectorStanding> = BTreeMap::new();
+        let mut directors: BTreeMap<String, DirectorStatus> = BTreeMap::new();
         let (mut newest, mut rate) = (0, 0.0f64);
         for k in self.at.keys() {
-            let answer = self.ask(*k, &Ask::Standing);
+            let answer = self.ask(*k, &ClientRequest::Status);
             let k = k.0;
             voters.push(match answer {
-                Ok(Tell::Standing { newest: n, digest, pending, votes, listed, changes, directors: of, .. }) => {
+                Ok(VoterResponse::Status { newest: n, digest, pending, votes, listed, changes, directors: of, .. }) => {
                     newest = newest.max(n);
                     rate = rate.max(changes);
                     for d in of {
@@ -234,7 +234,7 @@
             });
         }
         if json {
-            let of = |d: &DirectorStanding| {
+            let of = |d: &DirectorStatus| {
                 json!({ "name": d.name, "version": d.have, "behind": newest.saturating_sub(d.have), "acts": d.acts,
                     "heard": d.heard, "lease_left": (d.left - d.heard).max(0.0), "cut_off": d.heard > CUT_OFF })
             };
