--- a/crates/kelpdoor-agreement/src/follower.rs
+++ b/crates/kelpdoor-agreement/src/follower.rs
@@ -12,7 +12,7 @@
 };
 
 /// Renewals within a lease: three may be lost.
-pub const RENEWALS: f64 = 4.0;
+pub const RENEWALS_PER_LEASE: f64 = 4.0;
 /// Of a lease; a question without an answer counts as lost, and the voter is asked again.
 const LOST: f64 = 1.0;
 /// s; the lease asked for before any version is known.
@@ -26,11 +26,11 @@
 /// What is read of a version, once. Nothing that is acted on is read anywhere else.
 pub trait Rules: Clone + Debug {
     /// What it is read with: a director's own settings.
-    type Own: Clone + Debug;
+    type LocalSettings: Clone + Debug;
 
     /// # Errors
     /// Why the document is none; nothing is begun by it.
-    fn read(own: &Self::Own, text: &str) -> Result<Self, String>;
+    fn read(own: &Self::LocalSettings, text: &str) -> Result<Self, String>;
     /// s; the lease that it grants.
     fn lease(&self) -> f64;
     /// Who decides the version after it.
@@ -41,7 +41,7 @@
     }
     /// What is acted on while both may be: the stricter of both, and the older where there is no stricter. Of three it is
     /// the same whichever two are taken first.
-    fn beside(older: &Self, newer: &Self) -> Self;
+    fn merge(older: &Self, newer: &Self) -> Self;
 }
 
 /// What one voter said last.
@@ -65,12 +65,12 @@
 
 /// A version by number and digest.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Named {
+pub struct VersionName {
     pub number: u64,
     pub digest: String,
 }
 
-impl Named {
+impl VersionName {
     fn label(&self) -> String {
         format!("{}/{}", self.number, self.digest)
     }
@@ -78,36 +78,36 @@
 
 /// Versions that follow each other, from the first to the last.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Span {
-    pub first: Named,
-    pub last: Named,
+pub struct VersionSpan {
+    pub first: VersionName,
+    pub last: VersionName,
 }
 
 /// What a director may do now.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Acting {
-    pub version: Named,
+pub struct ActiveVersions {
+    pub version: VersionName,
     /// Versions that others may still act on, oldest first and none left out up to `version`: the stricter of all holds,
     /// and what has no stricter side is the oldest's.
-    pub beside: Vec<Span>,
+    pub older: Vec<VersionSpan>,
     /// Steady time; nothing is begun before, and nothing from then on.
     pub from: f64,
     pub until: f64,
 }
 
-impl Acting {
+impl ActiveVersions {
     /// The oldest version that is acted on.
     pub fn oldest(&self) -> u64 {
-        self.beside.first().map_or(self.version.number, |s| s.first.number)
+        self.older.first().map_or(self.version.number, |s| s.first.number)
     }
 
     /// Versions by number and digest, the newest first, as records name them: `9/ab.. beside 8/cd.. beside 7/ef..`, or with
     /// more than a few beside `99/ab.. beside 98/cd.. to 40/ef..`.
     pub fn label(&self) -> String {
         let mut all = self.version.label();
-        let (Some(oldest), Some(newest)) = (self.beside.first(), self.beside.last()) else { return all };
-        if self.beside.len() <= NAMED && self.beside.iter().all(|s| s.first == s.last) {
-            for s in self.beside.iter().rev() {
+        let (Some(oldest), Some(newest)) = (self.older.first(), self.older.last()) else { return all };
+        if self.older.len() <= NAMED && self.older.iter().all(|s| s.first == s.last) {
+            for s in self.older.iter().rev() {
                 all += &format!(" beside {}", s.last.label());
             }
             return all;
@@ -120,14 +120,14 @@
 #[derive(Clone, Debug)]
 struct Read<R> {
     chosen: Chosen,
-    named: Named,
+    named: VersionName,
     rules: Arc<R>,
 }
 
 /// Versions that stand beside newer ones, folded into one.
 #[derive(Clone, Debug)]
 struct Fold<R> {
-    span: Span,
+    span: VersionSpan,
     opened: f64,
     /// Nobody acts on any of them as the newest from then on.
     until: f64,
@@ -138,7 +138,7 @@
 pub struct Follower<R: Rules> {
     name: String,
     boot: u64,
-    own: R::Own,
+    own: R::LocalSettings,
     /// Of each voter asked lately, whether it is on the list or not.
     lines: BTreeMap<VoterId, Line>,
     /// Who decides the version after the known one: a majority of them alone gives a lease.
@@ -146,11 +146,11 @@
     known: Option<Read<R>>,
     lease: f64,
     /// Oldest first.
-    beside: VecDeque<Fold<R>>,
+    older: VecDeque<Fold<R>>,
     /// All of `beside` but the last, as merged: from which version to which.
     merged: Option<(u64, u64, Arc<R>)>,
     /// A version that does not read here, by number and digest, and why.
-    unread: Option<(Named, String)>,
+    unread: Option<(VersionName, String)>,
     from: f64,
     until: f64,
     /// A voter has answered since our start.
@@ -160,7 +160,7 @@
 
 impl<R: Rules> Follower<R> {
     /// `kept` is what an earlier start knew: knowledge, no permission. One that does not read here is done without.
-    pub fn new(name: &str, boot: u64, kept: Option<Chosen>, own: R::Own) -> Self {
+    pub fn new(name: &str, boot: u64, kept: Option<Chosen>, own: R::LocalSettings) -> Self {
         let mut f = Follower {
             name: name.to_owned(),
             boot,
@@ -169,7 +169,7 @@
             deciding: BTreeSet::new(),
             known: None,
             lease: FIRST_LEASE,
-            beside: VecDeque::new(),
+            older: VecDeque::new(),
             merged: None,
             unread: None,
             from: f64::INFINITY,
@@ -185,7 +185,7 @@
 
     /// Reads a version, once.
     fn read(&mut self, chosen: Chosen) -> Result<Read<R>, String> {
-        let named = Named { number: chosen.number, digest: chosen.digest() };
+        let named = VersionName { number: chosen.number, digest: chosen.digest() };
         if let Some((of, why)) = &self.unread
             && *of == named
         {
@@ -208,61 +208,61 @@
         self.known = Some(read);
     }
 
-    pub fn known(&self) -> Option<&Chosen> {
+    pub fn known_version(&self) -> Option<&Chosen> {
         self.known.as_ref().map(|k| &k.chosen)
     }
 
     /// What is read of the newest version known.
-    pub fn newest(&self) -> Option<&Arc<R>> {
+    pub fn newest_rules(&self) -> Option<&Arc<R>> {
         self.known.as_ref().map(|k| &k.rules)
     }
 
     /// What may be acted on, if any version is known.
-    pub fn acting(&self, now: f64) -> Option<Acting> {
+    pub fn active_versions(&self, now: f64) -> Option<ActiveVersions> {
         let version = self.known.as_ref()?.named.clone();
-        let beside = self.beside.iter().filter(|f| f.until > now).map(|f| f.span.clone()).collect();
-        Some(Acting { version, beside, from: self.from, until: self.until })
+        let older = self.older.iter().filter(|f| f.until > now).map(|f| f.span.clone()).collect();
+        Some(ActiveVersions { version, older, from: self.from, until: self.until })
     }
 
     /// All versions that may be acted on, merged. What was merged before is not merged again.
     pub fn rules(&mut self, now: f64) -> Option<Arc<R>> {
         self.drop_old(now);
         let newest = self.known.as_ref()?.rules.clone();
-        let Some(last) = self.beside.back() else { return Some(newest) };
+        let Some(last) = self.older.back() else { return Some(newest) };
         let mut all = last.rules.clone();
-        let older = self.beside.len() - 1;
+        let older = self.older.len() - 1;
         if older > 0 {
-            let between = (self.beside[0].span.first.number, self.beside[older - 1].span.last.number);
+            let between = (self.older[0].span.first.number, self.older[older - 1].span.last.number);
             let known = self.merged.take().filter(|(a, b, _)| (*a, *b) == between).map(|(.., r)| r);
             let merged = known.unwrap_or_else(|| {
-                let rest = self.beside.range(1..older).map(|f| &f.rules);
-                rest.fold(self.beside[0].rules.clone(), |a, b| Arc::new(R::beside(&a, b)))
+                let rest = self.older.range(1..older).map(|f| &f.rules);
+                rest.fold(self.older[0].rules.clone(), |a, b| Arc::new(R::merge(&a, b)))
             });
-            all = Arc::new(R::beside(&merged, &all));
+            all = Arc::new(R::merge(&merged, &all));
             self.merged = Some((between.0, between.1, merged));
         }
-        Some(Arc::new(R::beside(&all, &newest)))
+        Some(Arc::new(R::merge(&all, &newest)))
     }
 
     fn drop_old(&mut self, now: f64) {
-        while self.beside.front().is_some_and(|f| f.until <= now) {
-            self.beside.pop_front();
+        while self.older.front().is_some_and(|f| f.until <= now) {
+            self.older.pop_front();
         }
     }
 
-    /// When [`acting`](Self::acting) changes by itself.
-    pub fn changes_at(&self, now: f64) -> f64 {
-        let ends = self.beside.iter().map(|f| f.until).chain([self.from]);
+    /// When [`active_versions`](Self::active_versions) changes by itself.
+    pub fn next_change_at(&self, now: f64) -> f64 {
+        let ends = self.older.iter().map(|f| f.until).chain([self.from]);
         ends.filter(|at| *at > now).fold(f64::INFINITY, f64::min)
     }
 
     /// The question to that voter, if one is due.
-    pub fn ask(&mut self, now: f64, voter: VoterId) -> Option<ClientRequest> {
+    pub fn next_request(&mut self, now: f64, voter: VoterId) -> Option<ClientRequest> {
         let (lease, left) = (self.lease, (self.until - now).max(0.0));
-        let acts = self.acting(now).map(|a| a.label()).unwrap_or_default();
+        let acts = self.active_versions(now).map(|a| a.label()).unwrap_or_default();
         let line = self.lines.entry(voter).or_default();
         let lost = line.out.is_none_or(|(_, asked)| now >= asked + LOST * lease);
-        let due = line.asked.is_none_or(|asked| now >= asked + lease / RENEWALS);
+        let due = line.asked.is_none_or(|asked| now >= asked + lease / RENEWALS_PER_LEASE);
         if !(lost && due) {
             return None;
         }
@@ -289,10 +289,10 @@
     }
 
     /// When a question is due.
-    pub fn ask_at(&self) -> f64 {
+    pub fn next_request_at(&self) -> f64 {
         let of = |l: &Line| match (l.out, l.asked) {
             (Some((_, asked)), _) => asked + LOST * self.lease,
-            (None, Some(asked)) => asked + self.lease / RENEWALS,
+            (None, Some(asked)) => asked + self.lease / RENEWALS_PER_LEASE,
             (None, None) => f64::NEG_INFINITY,
         };
         self.lines.values().map(of).fold(f64::INFINITY, f64::min)
@@ -304,7 +304,7 @@
     }
 
     /// That voter is not asked any more.
-    pub fn forget(&mut self, voter: VoterId) {
+    pub fn remove_voter(&mut self, voter: VoterId) {
         self.lines.remove(&voter);
     }
 
@@ -312,7 +312,7 @@
     ///
     /// # Errors
     /// A plain sentence; nothing of the answer counts then.
-    pub fn heard(&mut self, now: f64, from: VoterId, tell: VoterResponse) -> Result<(), String> {
+    pub fn handle_response(&mut self, now: f64, from: VoterId, tell: VoterResponse) -> Result<(), String> {
         let voter = from.0;
         let Some(line) = self.lines.get_mut(&from) else { return Ok(()) };
         let (seq, newest, pending, document, chain) = match tell {
@@ -416,15 +416,15 @@
         self.drop_old(now);
         let (until, width) = (now + self.hold(), FOLD * self.hold());
         for read in std::iter::once(old).chain(newer) {
-            match self.beside.back_mut().filter(|last| now < last.opened + width) {
+            match self.older.back_mut().filter(|last| now < last.opened + width) {
                 Some(last) => {
                     last.span.last = read.named;
                     last.until = until;
-                    last.rules = Arc::new(R::beside(&last.rules, &read.rules));
+                    last.rules = Arc::new(R::merge(&last.rules, &read.rules));
                 }
                 None => {
-                    let span = Span { first: read.named.clone(), last: read.named };
-                    self.beside.push_back(Fold { span, opened: now, until, rules: read.rules });
+                    let span = VersionSpan { first: read.named.clone(), last: read.named };
+                    self.older.push_back(Fold { span, opened: now, until, rules: read.rules });
                 }
             }
         }
@@ -433,7 +433,7 @@
 
     /// What the others may still act on is not known: nothing is begun until that is over.
     fn start_over(&mut self, now: f64, newest: Read<R>) {
-        self.beside.clear();
+        self.older.clear();
         self.know(newest);
         self.from = now + self.hold();
     }
--- a/crates/kelpdoor-agreement/src/keys.rs
+++ b/crates/kelpdoor-agreement/src/keys.rs
@@ -466,7 +466,7 @@
 }
 
 impl Rules for Acted {
-    type Own = Own;
+    type LocalSettings = Own;
 
     fn read(own: &Own, text: &str) -> Result<Self, String> {
         let (book, shared, listed) = own.under(text).map_err(|faults| first(&faults))?;
@@ -488,7 +488,7 @@
         self.shared.voters.at.clone()
     }
 
-    fn beside(older: &Self, newer: &Self) -> Self {
+    fn merge(older: &Self, newer: &Self) -> Self {
         let place = |of: &Self| (Some(of.turns.0), of.turns.1);
         Acted {
             shared: both(&older.shared, &newer.shared).0,
@@ -512,7 +512,7 @@
 }
 
 impl Rules for Sold {
-    type Own = ();
+    type LocalSettings = ();
 
     fn read((): &(), text: &str) -> Result<Self, String> {
         let shared = Shared::run("the document", text).map_err(|faults| first(&faults))?;
@@ -531,7 +531,7 @@
         self.shared.voters.at.clone()
     }
 
-    fn beside(_: &Self, newer: &Self) -> Self {
+    fn merge(_: &Self, newer: &Self) -> Self {
         newer.clone()
     }
 }
--- a/crates/kelpdoor-agreement/src/lib.rs
+++ b/crates/kelpdoor-agreement/src/lib.rs
@@ -16,7 +16,7 @@
 mod voter;
 
 pub use delta::{Delta, Edit};
-pub use follower::{Acting, Follower, RENEWALS, Rules, Span};
+pub use follower::{ActiveVersions, Follower, RENEWALS_PER_LEASE, Rules, VersionSpan};
 pub use messages::{
     Ballot, CatchUp, Chosen, ClientRequest, DirectorStatus, DocumentReader, MAX_DOCUMENT, MAX_LINE,
     MAX_LOG_BYTES, MAX_LOG_VERSIONS, Value, VoterId, VoterMessage, VoterResponse,
--- a/crates/kelpdoor-agreement/tests/chained.rs
+++ b/crates/kelpdoor-agreement/tests/chained.rs
@@ -63,7 +63,7 @@
     fn look(&mut self) {
         let now = self.now();
         for d in &mut self.directors {
-            let Some(a) = d.acting(now).filter(|a| a.from <= now && now < a.until) else { continue };
+            let Some(a) = d.active_versions(now).filter(|a| a.from <= now && now < a.until) else { continue };
             self.acted += 1;
             let (newest, oldest) = (a.version.number, a.oldest());
             self.first.entry(oldest).or_insert(self.ticks);
@@ -80,7 +80,7 @@
     /// A director asks, and the voter answers, whatever becomes of the answer.
     fn ask(&mut self, d: usize, voter: VoterId) -> Option<VoterResponse> {
         let now = self.now();
-        let ask = self.directors[d].ask(now, voter)?;
+        let ask = self.directors[d].next_request(now, voter)?;
         let v = &mut self.voters[usize::from(voter.0)];
         v.ask(now, d as u64, ask);
         v.take_output().1.into_iter().find_map(|o| match o {
@@ -91,7 +91,7 @@
 
     fn hear(&mut self, d: usize, voter: VoterId, tell: VoterResponse) {
         // A word that is not taken says so; nothing else comes of it.
-        let _ = self.directors[d].heard(self.now(), voter, tell);
+        let _ = self.directors[d].handle_response(self.now(), voter, tell);
         self.look();
     }
 
@@ -175,7 +175,8 @@
     while let Some(state) = todo.pop() {
         assert!(seen.len() < most, "more than {most} states");
         acted += state.acted - start.acted;
-        let of = |d: &Follower<Texts>| d.acting(state.now()).map_or(0, |a| a.version.number - a.oldest());
+        let of =
+            |d: &Follower<Texts>| d.active_versions(state.now()).map_or(0, |a| a.version.number - a.oldest());
         together += usize::from(state.directors.iter().any(|d| of(d) >= 2));
         for mut s in state.next(versions, 3 + ticks) {
             if seen.insert(s.key()) {
--- a/crates/kelpdoor-agreement/tests/chains.rs
+++ b/crates/kelpdoor-agreement/tests/chains.rs
@@ -32,8 +32,8 @@
 /// All three voters are asked and answer so.
 fn say(f: &mut Follower<Texts>, now: f64, newest: u64, chain: &[Delta]) -> Result<(), String> {
     for v in 0..3 {
-        if let Some(ClientRequest::Renew { seq, .. }) = f.ask(now, VoterId(v)) {
-            f.heard(now, VoterId(v), tell(seq, newest, None, chain.to_vec()))?;
+        if let Some(ClientRequest::Renew { seq, .. }) = f.next_request(now, VoterId(v)) {
+            f.handle_response(now, VoterId(v), tell(seq, newest, None, chain.to_vec()))?;
         }
     }
     Ok(())
@@ -45,8 +45,8 @@
     for k in 0..10 {
         say(&mut f, f64::from(k) * 0.25, 1, &[]).unwrap();
     }
-    let a = f.acting(2.25).unwrap();
-    assert!(a.from <= 2.25 && a.until > 3.0 && a.beside.is_empty(), "{a:?}");
+    let a = f.active_versions(2.25).unwrap();
+    assert!(a.from <= 2.25 && a.until > 3.0 && a.older.is_empty(), "{a:?}");
     f
 }
 
@@ -54,7 +54,7 @@
     let rules = f.rules(now).unwrap();
     let numbers: Vec<&str> = rules.all.iter().map(|t| t.lines().nth(2).unwrap()).collect();
     let oldest = rules.oldest.lines().nth(2).unwrap().to_owned();
-    (f.acting(now).unwrap().label(), numbers.join(", "), oldest)
+    (f.active_versions(now).unwrap().label(), numbers.join(", "), oldest)
 }
 
 #[test]
@@ -66,7 +66,7 @@
         let (label, all, oldest) = held(&mut f, now);
         told += &format!("{now}: {label}: {all}; without a stricter side: {oldest}\n");
     }
-    assert!(f.acting(2.5).unwrap().from <= 2.5, "it went on");
+    assert!(f.active_versions(2.5).unwrap().from <= 2.5, "it went on");
     expect![[r#"
         2.5: 4/be2b2dfa1f58398f beside 3/fee6c9bdb4b64ff9 to 1/7c8fe81b31d5c874: number 1, number 2, number 3, number 4; without a stricter side: number 1
         3.5: 4/be2b2dfa1f58398f beside 3/fee6c9bdb4b64ff9 to 1/7c8fe81b31d5c874: number 1, number 2, number 3, number 4; without a stricter side: number 1
@@ -78,14 +78,14 @@
 #[test]
 fn a_chain_without_a_lease_waits_one() {
     let mut f = following();
-    let until = f.acting(2.25).unwrap().until;
+    let until = f.active_versions(2.25).unwrap().until;
     assert_eq!(until, 2.25 + 0.99);
     say(&mut f, until, 3, &chain(1, 3)).unwrap();
-    let a = f.acting(until).unwrap();
-    assert_eq!((a.version.number, a.beside.len(), a.from), (3, 0, until + 1.02));
+    let a = f.active_versions(until).unwrap();
+    assert_eq!((a.version.number, a.older.len(), a.from), (3, 0, until + 1.02));
     // What comes while it waits stands beside: the wait does not begin again.
     say(&mut f, until + 0.5, 5, &chain(3, 5)).unwrap();
-    let b = f.acting(until + 1.1).unwrap();
+    let b = f.active_versions(until + 1.1).unwrap();
     assert_eq!((b.version.number, b.oldest(), b.from), (5, 3, until + 1.02));
 }
 
@@ -126,12 +126,12 @@
     ];
     for (name, chain) in cases {
         let mut f = base.clone();
-        let before = f.acting(2.5);
+        let before = f.active_versions(2.5);
         let newest = 4;
         told += &format!("{name}: {}\n", say(&mut f, 2.5, newest, &chain).unwrap_err());
-        assert_eq!(f.acting(2.5), before, "{name}: nothing of it counts");
+        assert_eq!(f.active_versions(2.5), before, "{name}: nothing of it counts");
         // The voter that said it is asked for the document, the others for a chain.
-        let wants = |f: &mut Follower<Texts>, v| match f.ask(2.75, VoterId(v)) {
+        let wants = |f: &mut Follower<Texts>, v| match f.next_request(2.75, VoterId(v)) {
             Some(ClientRequest::Renew { wants, .. }) => wants,
             other => panic!("{other:?}"),
         };
@@ -166,14 +166,14 @@
             let t = 2.5 + 0.0502 * f64::from(step);
             let next = 1 + ((t - 2.25) * rate) as u64;
             let voter = VoterId((step % 5) as u8);
-            if let Some(ClientRequest::Renew { seq, .. }) = f.ask(t, voter) {
-                f.heard(t, voter, tell(seq, next, None, chain(number, next))).unwrap();
+            if let Some(ClientRequest::Renew { seq, .. }) = f.next_request(t, voter) {
+                f.handle_response(t, voter, tell(seq, next, None, chain(number, next))).unwrap();
             }
-            number = f.known().unwrap().number;
+            number = f.known_version().unwrap().number;
             learned.resize(number as usize + 1, t);
-            let a = f.acting(t).unwrap();
+            let a = f.active_versions(t).unwrap();
             assert!(a.from <= t && t < a.until, "it acts all the while: {a:?} at {t}");
-            most = most.max(a.beside.len());
+            most = most.max(a.older.len());
             let rules = f.rules(t).unwrap();
             // None is left out between the oldest and the newest, and none more is held.
             let all: BTreeSet<String> = (a.oldest()..=number).map(text).collect();
--- a/crates/kelpdoor-agreement/tests/simulated.rs
+++ b/crates/kelpdoor-agreement/tests/simulated.rs
@@ -299,7 +299,7 @@
             }
             _ => {
                 let f = self.rng.usize(..d);
-                let kept = self.followers[f].known().cloned();
+                let kept = self.followers[f].known_version().cloned();
                 self.sites[v + f].life += 1;
                 let boot = self.rng.u64(..);
                 self.followers[f] = Follower::new(&format!("d{f}"), boot, kept, ());
@@ -339,10 +339,11 @@
             return;
         }
         let now = self.local(site);
-        if let Some(c) = self.followers[f].known().cloned() {
+        if let Some(c) = self.followers[f].known_version().cloned() {
             self.content(c);
         }
-        let Some(a) = self.followers[f].acting(now).filter(|a| a.from <= now && now < a.until) else {
+        let Some(a) = self.followers[f].active_versions(now).filter(|a| a.from <= now && now < a.until)
+        else {
             return;
         };
         self.acted += 1;
@@ -376,7 +377,7 @@
         }
         let now = self.local(site);
         for k in 0..self.voters.len() {
-            if let Some(ask) = self.followers[f].ask(now, VoterId(k as u8)) {
+            if let Some(ask) = self.followers[f].next_request(now, VoterId(k as u8)) {
                 let event = Event::Asked(k, self.sites[k].life, f, ask);
                 self.carry(site, k, event);
             }
@@ -419,7 +420,7 @@
                     return self.at(at, Event::Told(f, life, k, tell));
                 }
                 let now = self.local(site);
-                let _ = self.followers[f].heard(now, VoterId(k as u8), tell);
+                let _ = self.followers[f].handle_response(now, VoterId(k as u8), tell);
                 self.look(f);
             }
             Event::Proposed(k, ask) => {
@@ -502,8 +503,8 @@
         let last = self.contents.keys().max().copied().unwrap_or(0);
         for f in 0..self.followers.len() {
             let now = self.local(self.voters.len() + f);
-            let acting = self.followers[f].acting(now);
-            if !acting.is_some_and(|a| a.version.number == last && a.beside.is_empty() && now < a.until) {
+            let acting = self.followers[f].active_versions(now);
+            if !acting.is_some_and(|a| a.version.number == last && a.older.is_empty() && now < a.until) {
                 self.wrong.push(format!("director {f} does not act on version {last} in the end"));
             }
         }
@@ -630,13 +631,13 @@
                 let of = |f: usize| {
                     let now = sim.local(3 + f);
                     sim.followers[f]
-                        .acting(now)
+                        .active_versions(now)
                         .filter(|a| a.version.number == 2 && a.from <= now && now < a.until)
                 };
                 let all: Vec<_> = (0..directors).map_while(of).collect();
                 if all.len() == directors {
                     beside.get_or_insert(t - begin);
-                    if all.iter().all(|a| a.beside.is_empty()) {
+                    if all.iter().all(|a| a.older.is_empty()) {
                         alone.get_or_insert(t - begin);
                     }
                 }
--- a/crates/kelpdoor-agreement/tests/table.rs
+++ b/crates/kelpdoor-agreement/tests/table.rs
@@ -296,15 +296,15 @@
     let mut f = Follower::<Texts>::new("d", 1, Some(by(2, "0 1 3")), ());
     let mut say = |now: f64, voter: u8, document: Option<Chosen>| {
         let newest = document.as_ref().map_or(2, |c| c.number);
-        if let Some(ClientRequest::Renew { seq, .. }) = f.ask(now, VoterId(voter)) {
-            f.heard(
+        if let Some(ClientRequest::Renew { seq, .. }) = f.next_request(now, VoterId(voter)) {
+            f.handle_response(
                 now,
                 VoterId(voter),
                 VoterResponse::Granted { seq, newest, pending: false, document, chain: vec![] },
             )
             .unwrap();
         }
-        f.acting(now).unwrap().until
+        f.active_versions(now).unwrap().until
     };
     // 2 was taken off the list: with 0 it is no majority.
     assert_eq!([say(0.0, 0, None), say(0.0, 2, None)], [f64::NEG_INFINITY; 2]);
@@ -374,10 +374,10 @@
     propose(&mut v, 0, 0, 1);
     assert_eq!(pump(&mut v, 0.0, |_, _, _| false), [VoterResponse::Agreed { number: 1 }]);
     let mut f = Follower::<Texts>::new("d", 1, None, ());
-    let Some(ClientRequest::Renew { seq, .. }) = f.ask(0.0, VoterId(0)) else { panic!() };
+    let Some(ClientRequest::Renew { seq, .. }) = f.next_request(0.0, VoterId(0)) else { panic!() };
     let far = Chosen { number: u64::MAX, value: value(1) };
     let told = VoterResponse::Granted { seq, newest: 1, pending: false, document: Some(far), chain: vec![] };
-    assert!(f.heard(0.0, VoterId(0), told).is_err() && f.known().is_none());
+    assert!(f.handle_response(0.0, VoterId(0), told).is_err() && f.known_version().is_none());
 }
 
 #[test]
@@ -448,9 +448,9 @@
 }
 
 fn granted(f: &mut Follower<Texts>, now: f64, voter: u8, newest: u64, pending: bool, doc: Option<u64>) {
-    if let Some(ClientRequest::Renew { seq, .. }) = f.ask(now, VoterId(voter)) {
+    if let Some(ClientRequest::Renew { seq, .. }) = f.next_request(now, VoterId(voter)) {
         let document = doc.map(|number| Chosen { number, value: value(number) });
-        f.heard(
+        f.handle_response(
             now + 0.01,
             VoterId(voter),
             VoterResponse::Granted { seq, newest, pending, document, chain: vec![] },
@@ -464,21 +464,21 @@
     let mut f = Follower::<Texts>::new("d", 1, None, ());
     granted(&mut f, 0.0, 0, 1, false, Some(1));
     granted(&mut f, 0.1, 1, 1, false, None);
-    let a = f.acting(0.2).unwrap();
+    let a = f.active_versions(0.2).unwrap();
     // From 0.0, on a clock that may run slow by 1 in 100; begun only when nobody acts on an older version alone.
     assert_eq!((a.until, a.from), (0.99, 0.01 + 1.02));
     // One of two says that something newer was accepted: no longer lease, whatever the third said long ago.
     granted(&mut f, 0.5, 0, 1, true, None);
     granted(&mut f, 0.5, 1, 1, false, None);
-    assert_eq!(f.acting(0.5).unwrap().until, 0.99);
+    assert_eq!(f.active_versions(0.5).unwrap().until, 0.99);
     // The third, cut off until now, knows nothing newer either: with 1, a majority.
     granted(&mut f, 0.6, 2, 1, false, None);
-    assert_eq!(f.acting(0.6).unwrap().until, 0.5 + 0.99);
+    assert_eq!(f.active_versions(0.6).unwrap().until, 0.5 + 0.99);
     // An answer that was on its way for long counts from its question.
-    let Some(ClientRequest::Renew { seq, .. }) = f.ask(1.2, VoterId(1)) else { panic!() };
+    let Some(ClientRequest::Renew { seq, .. }) = f.next_request(1.2, VoterId(1)) else { panic!() };
     let late = VoterResponse::Granted { seq, newest: 1, pending: false, document: None, chain: vec![] };
-    f.heard(2.1, VoterId(1), late).unwrap();
-    assert_eq!(f.acting(2.1).unwrap().until, 0.6 + 0.99);
+    f.handle_response(2.1, VoterId(1), late).unwrap();
+    assert_eq!(f.active_versions(2.1).unwrap().until, 0.6 + 0.99);
 }
 
 #[test]
@@ -489,11 +489,11 @@
         (0..3).for_each(|v| granted(&mut f, now, v, 1, false, Some(1).filter(|_| k == 0)));
     }
     let label = |f: &Follower<Texts>, t: f64| {
-        f.acting(t).map(|a| a.beside.iter().map(|b| b.first.number).collect::<Vec<_>>())
+        f.active_versions(t).map(|a| a.older.iter().map(|b| b.first.number).collect::<Vec<_>>())
     };
     granted(&mut f, 2.0, 0, 2, false, Some(2));
     assert_eq!(label(&f, 2.1), Some(vec![1]));
-    assert!((f.changes_at(2.1) - 3.03).abs() < 1e-9);
+    assert!((f.next_change_at(2.1) - 3.03).abs() < 1e-9);
     assert_eq!(label(&f, 3.1), Some(vec![]));
     // A version between was missed: nothing until the others' leases are over.
     for k in 9..12 {
@@ -501,22 +501,23 @@
         (0..3).for_each(|v| granted(&mut f, now, v, 2, false, None));
     }
     // Under a lease it is not taken: whoever has the versions between tells them.
-    let Some(ClientRequest::Renew { seq, wants: CatchUp::Chain, .. }) = f.ask(3.0, VoterId(1)) else {
+    let Some(ClientRequest::Renew { seq, wants: CatchUp::Chain, .. }) = f.next_request(3.0, VoterId(1))
+    else {
         panic!()
     };
     let four = Some(Chosen { number: 4, value: value(4) });
     let told = VoterResponse::Granted { seq, newest: 4, pending: false, document: four, chain: vec![] };
     expect!["voter 1 shows version 4 and not those after 2: not taken under a lease"]
-        .assert_eq(&f.heard(3.01, VoterId(1), told).unwrap_err());
-    let a = f.acting(3.1).unwrap();
-    assert!(a.version.number == 2 && a.beside.is_empty() && (a.until - 3.74).abs() < 1e-9, "{a:?}");
+        .assert_eq(&f.handle_response(3.01, VoterId(1), told).unwrap_err());
+    let a = f.active_versions(3.1).unwrap();
+    assert!(a.version.number == 2 && a.older.is_empty() && (a.until - 3.74).abs() < 1e-9, "{a:?}");
     // Without one it is.
     granted(&mut f, 3.75, 1, 4, false, Some(4));
-    let a = f.acting(3.8).unwrap();
-    assert!(a.version.number == 4 && a.beside.is_empty() && (a.from - 4.78).abs() < 1e-9, "{a:?}");
+    let a = f.active_versions(3.8).unwrap();
+    assert!(a.version.number == 4 && a.older.is_empty() && (a.from - 4.78).abs() < 1e-9, "{a:?}");
     // Older words and older documents change nothing.
     granted(&mut f, 3.9, 2, 3, false, Some(3));
-    assert_eq!(f.known().map(|c| c.number), Some(4));
+    assert_eq!(f.known_version().map(|c| c.number), Some(4));
 }
 
 const DOCUMENT: &str = r#"
--- a/crates/kelpdoor-agreement/tests/texts/mod.rs
+++ b/crates/kelpdoor-agreement/tests/texts/mod.rs
@@ -31,7 +31,7 @@
 }
 
 impl Rules for Texts {
-    type Own = ();
+    type LocalSettings = ();
 
     fn read((): &(), text: &str) -> Result<Self, String> {
         if text.starts_with("bad") {
@@ -48,7 +48,7 @@
         voters(&self.newest)
     }
 
-    fn beside(older: &Self, newer: &Self) -> Self {
+    fn merge(older: &Self, newer: &Self) -> Self {
         Texts { all: &older.all | &newer.all, oldest: older.oldest.clone(), newest: newer.newest.clone() }
     }
 }
--- a/crates/kelpdoor-director/src/following.rs
+++ b/crates/kelpdoor-director/src/following.rs
@@ -94,10 +94,10 @@
     /// # Errors
     /// Where a kept copy is another fleet's, or no version reads.
     pub async fn reading<R>(
-        of: Agreement, own: R::Own, book: impl Fn(&R) -> (B, bool) + Send + 'static,
+        of: Agreement, own: R::LocalSettings, book: impl Fn(&R) -> (B, bool) + Send + 'static,
     ) -> anyhow::Result<Self>
     where
-        R: Rules<Own: Send + Sync> + Send + Sync + 'static,
+        R: Rules<LocalSettings: Send + Sync> + Send + Sync + 'static,
     {
         let steady = Steady::new(of.clock_rate);
         let kept = kept(&of)?;
@@ -139,11 +139,11 @@
     loop {
         let now = steady.now();
         for voter in lines.voters() {
-            if let Some(ask) = follower.ask(now, voter) {
+            if let Some(ask) = follower.next_request(now, voter) {
                 lines.ask(voter, ask);
             }
         }
-        if let Some(acting) = follower.acting(now) {
+        if let Some(acting) = follower.active_versions(now) {
             let label = acting.label();
             let (from, until) = (acting.from, acting.until);
             let before = told.as_ref().map(|t| t.borrow().clone()).filter(|r| r.label == label);
@@ -183,7 +183,7 @@
         if told.as_ref().is_some_and(|t| t.is_closed()) {
             return;
         }
-        let due = follower.ask_at().min(follower.changes_at(now)).min(now + LOOK);
+        let due = follower.next_request_at().min(follower.next_change_at(now)).min(now + LOOK);
         let word = tokio::select! {
             word = words.recv() => word,
             () = sleep(Duration::from_secs_f64((due - now).max(0.001))) => None,
@@ -192,11 +192,11 @@
         match heard {
             Heard::Connected => follower.connected(voter),
             Heard::Told(tell) => {
-                let before = follower.known().map_or(0, |c| c.number);
-                if let Err(why) = follower.heard(steady.now(), voter, tell) {
+                let before = follower.known_version().map_or(0, |c| c.number);
+                if let Err(why) = follower.handle_response(steady.now(), voter, tell) {
                     said.refused(voter, why);
                 }
-                if let Some(c) = follower.known().filter(|c| c.number > before) {
+                if let Some(c) = follower.known_version().filter(|c| c.number > before) {
                     save.send_replace(Some(c.clone()));
                     dial(&mut lines, &of, &mut follower);
                 }
@@ -207,9 +207,9 @@
 
 /// Keeps lines to the voters that the known version names, and to those of the settings: they may know a newer one.
 fn dial<R: Rules>(lines: &mut Lines, own: &Agreement, follower: &mut Follower<R>) {
-    let known = follower.newest().map(|r| r.addresses());
+    let known = follower.newest_rules().map(|r| r.addresses());
     for gone in lines.dial(addresses(&own.voters, known, &own.reach)) {
-        follower.forget(gone);
+        follower.remove_voter(gone);
     }
 }
 
--- a/crates/kelpdoor-lab/src/scale/follow.rs
+++ b/crates/kelpdoor-lab/src/scale/follow.rs
@@ -34,7 +34,7 @@
 }
 
 impl Rules for FirstLine {
-    type Own = ();
+    type LocalSettings = ();
 
     fn read((): &(), text: &str) -> Result<Self, String> {
         let (contradiction, voters) = first_line(text).ok_or("its first line names no voters")?;
@@ -49,7 +49,7 @@
         self.voters.clone()
     }
 
-    fn beside(_: &Self, newer: &Self) -> Self {
+    fn merge(_: &Self, newer: &Self) -> Self {
         newer.clone()
     }
 }
@@ -64,7 +64,7 @@
 
 /// The newest version that it knows; 0: none.
 pub fn newest(of: &Follower) -> u64 {
-    of.known().map_or(0, |c| c.number)
+    of.known_version().map_or(0, |c| c.number)
 }
 
 /// What a follower acts on, in its own time.
@@ -79,7 +79,7 @@
 
 /// What it acts on, if it knows a version.
 pub fn acts(of: &Follower, now: f64) -> Option<Acts> {
-    let a = of.acting(now)?;
+    let a = of.active_versions(now)?;
     let newest = a.version.number;
     let oldest = a.oldest();
     Some(Acts { newest, oldest, from: a.from, until: a.until })
@@ -282,16 +282,16 @@
 
 /// The questions that are due: asked for only then, as each call names what is acted on, with its sums.
 pub fn asks(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
-    let at = of.ask_at();
+    let at = of.next_request_at();
     if at > now && at < f64::INFINITY {
         return Vec::new();
     }
-    (0..voters as u8).map(VoterId).filter_map(|v| Some((v, of.ask(now, v)?))).collect()
+    (0..voters as u8).map(VoterId).filter_map(|v| Some((v, of.next_request(now, v)?))).collect()
 }
 
 /// What a real director's loop does of this each time it looks at its voters.
 pub fn as_a_director(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
-    let all = (0..voters as u8).map(VoterId).filter_map(|v| Some((v, of.ask(now, v)?))).collect();
-    std::hint::black_box(of.acting(now).map(|a| a.label()));
+    let all = (0..voters as u8).map(VoterId).filter_map(|v| Some((v, of.next_request(now, v)?))).collect();
+    std::hint::black_box(of.active_versions(now).map(|a| a.label()));
     all
 }
--- a/crates/kelpdoor-lab/src/scale/hollow.rs
+++ b/crates/kelpdoor-lab/src/scale/hollow.rs
@@ -250,7 +250,7 @@
             // A moment after it is due.
             let due = {
                 let f = self.follower.borrow();
-                f.ask_at().min(f.changes_at(now)).min(now + LOOK)
+                f.next_request_at().min(f.next_change_at(now)).min(now + LOOK)
             };
             sleep(Duration::from_secs_f64((due - now).max(0.001))).await;
         }
@@ -383,7 +383,7 @@
             tell => {
                 self.answered(v, &tell);
                 // What is wrong with an answer is a real director's to log.
-                let _ = self.follower.borrow_mut().heard(self.group.now(), voter, tell);
+                let _ = self.follower.borrow_mut().handle_response(self.group.now(), voter, tell);
             }
         }
         self.step();
--- a/crates/kelpdoor-lab/src/scale/plan/events.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/events.rs
@@ -1,6 +1,6 @@
 //! What piles up where when something fails: worked out from the target alone.
 
-use kelpdoor_agreement::{RENEWALS, lease_of};
+use kelpdoor_agreement::{RENEWALS_PER_LEASE, lease_of};
 
 use super::show::{figure, number, table as show};
 use crate::scale::target::{Aim, DAY};
@@ -22,7 +22,7 @@
     // Viewers of directors lost, on those that are left.
     let on_others = |lost: f64| held * lost / (t.directors - lost).max(1.0);
     let alone = held / a.setups_a_second;
-    let questions = t.directors * RENEWALS / lease_of(a.contradiction);
+    let questions = t.directors * RENEWALS_PER_LEASE / lease_of(a.contradiction);
     let region = t.directors / t.regions;
     let versions = aim.changes() * f.region_cut;
     let setups = |viewers: f64| figure(viewers / a.setups_a_second, "s");
--- a/crates/kelpdoor-lab/src/scale/simulate.rs
+++ b/crates/kelpdoor-lab/src/scale/simulate.rs
@@ -355,7 +355,7 @@
             self.carry(self.t, site, k, Event::Asked(k, f as u64, ask));
         }
         self.board.look(self.t, f, &self.followers[f], now, |local| local / rate);
-        let due = self.followers[f].ask_at().min(self.followers[f].changes_at(now)) / rate;
+        let due = self.followers[f].next_request_at().min(self.followers[f].next_change_at(now)) / rate;
         // A moment after it is due, or a sum of times may fall short of it.
         let due = (due + SOON).max(self.t + SOON);
         if due < self.due_at[f] || self.due_at[f] <= self.t {
@@ -469,7 +469,7 @@
                     *self.out.refused.entry(why.clone()).or_default() += 1;
                 }
                 // What is wrong with an answer is the follower's to say in a log.
-                let _ = self.followers[f].heard(now, VoterId(k as u8), tell);
+                let _ = self.followers[f].handle_response(now, VoterId(k as u8), tell);
                 self.work(f);
             }
             Event::Due(f) => {
@@ -617,7 +617,7 @@
                 if let Output::Response(_, tell) = out {
                     let began = Instant::now();
                     // An answer that does not count costs the same.
-                    let _ = follower.heard(now, id, tell);
+                    let _ = follower.handle_response(now, id, tell);
                     follow::as_a_director(&mut follower, now, voters);
                     took += began.elapsed();
                 }
@@ -626,7 +626,7 @@
         if now >= 2.0 * lease {
             spent += took.as_secs_f64();
         }
-        now = follower.ask_at().max(now + 1e-3);
+        now = follower.next_request_at().max(now + 1e-3);
     }
     spent / seconds
 }
