--- a/crates/kelpdoor-agreement/src/follower.rs
+++ b/crates/kelpdoor-agreement/src/follower.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::RATE_ERROR;
+use crate::MAX_CLOCK_RATE_ERROR;
 use crate::delta::Delta;
 use crate::messages::{
     CatchUp, Chosen, ClientRequest, MAX_LOG_VERSIONS, MAX_VERSION, VoterId, VoterResponse,
@@ -377,7 +377,7 @@
 
     /// s; how long somebody may act on the version before one that is learned now: a lease, on a clock that runs otherwise.
     fn hold(&self) -> f64 {
-        self.lease * (1.0 + 2.0 * RATE_ERROR)
+        self.lease * (1.0 + 2.0 * MAX_CLOCK_RATE_ERROR)
     }
 
     /// The versions of a chain after the one that is known, each from the one before it.
@@ -450,7 +450,7 @@
         let mut asked: Vec<f64> = said.filter(clean).map(|s| s.asked).collect();
         asked.sort_by(|a, b| b.total_cmp(a));
         if let Some(from) = asked.get(self.deciding.len() / 2) {
-            self.until = self.until.max(from + self.lease * (1.0 - RATE_ERROR));
+            self.until = self.until.max(from + self.lease * (1.0 - MAX_CLOCK_RATE_ERROR));
         }
     }
 }
--- a/crates/kelpdoor-agreement/src/keys.rs
+++ b/crates/kelpdoor-agreement/src/keys.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::follower::Rules;
-use crate::lease_of;
+use crate::lease_duration;
 use crate::messages::VoterId;
 
 /// What becomes of a key while both versions may be acted on.
@@ -477,7 +477,7 @@
     }
 
     fn lease(&self) -> f64 {
-        lease_of(self.shared.directors.contradiction)
+        lease_duration(self.shared.directors.contradiction)
     }
 
     fn voters(&self) -> Vec<VoterId> {
@@ -520,7 +520,7 @@
     }
 
     fn lease(&self) -> f64 {
-        lease_of(self.shared.directors.contradiction)
+        lease_duration(self.shared.directors.contradiction)
     }
 
     fn voters(&self) -> Vec<VoterId> {
--- a/crates/kelpdoor-agreement/src/lib.rs
+++ b/crates/kelpdoor-agreement/src/lib.rs
@@ -21,17 +21,17 @@
     Ballot, CatchUp, Chosen, ClientRequest, DirectorStatus, DocumentReader, MAX_DOCUMENT, MAX_LINE,
     MAX_LOG_BYTES, MAX_LOG_VERSIONS, Value, VoterId, VoterMessage, VoterResponse,
 };
-pub use voter::{Durable, NAMES, Output, Voter};
+pub use voter::{DurableState, MAX_DIRECTOR_NAMES, Output, Voter};
 
 /// Of time; how far apart two steady clocks may run, the slewing of a director's time included. Clocks of machines keep
 /// to 0.0002 of their rate when undisturbed; fifty times that.
-pub const RATE_ERROR: f64 = 0.01;
+pub const MAX_CLOCK_RATE_ERROR: f64 = 0.01;
 
 /// Of the stated longest contradiction; a lease. The rest is for what was decided in time and has still to reach a
 /// node, and for directors that hear of a change at different times.
-pub const LEASE_PART: f64 = 0.5;
+pub const LEASE_FRACTION: f64 = 0.5;
 
 /// A lease on a version that states this longest contradiction, s.
-pub fn lease_of(contradiction: f64) -> f64 {
-    contradiction * LEASE_PART
+pub fn lease_duration(contradiction: f64) -> f64 {
+    contradiction * LEASE_FRACTION
 }
--- a/crates/kelpdoor-agreement/src/voter.rs
+++ b/crates/kelpdoor-agreement/src/voter.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::RATE_ERROR;
+use crate::MAX_CLOCK_RATE_ERROR;
 use crate::delta::Delta;
 use crate::messages::{
     Ballot, CatchUp, Chosen, ClientRequest, DirectorStatus, DocumentReader, MAX_DOCUMENT, MAX_LOG_BYTES,
@@ -30,7 +30,7 @@
 /// Voters known of at most; more are not remembered.
 const PEERS: usize = 64;
 /// Directors known by name at most; more are refused by name until others have been silent for their lease.
-pub const NAMES: usize = 16_384;
+pub const MAX_DIRECTOR_NAMES: usize = 16_384;
 /// Bytes of a director's name, and of the versions that it says it acts on, at most.
 const LONG: (usize, usize) = (64, 512);
 /// s; changes are counted over it, for operators.
@@ -40,7 +40,7 @@
 
 /// What has to be on disk before any word that follows it leaves.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Durable {
+pub struct DurableState {
     /// Names fleet and voter, so that a store moved elsewhere is found out.
     pub fleet: String,
     /// Who decides the first version; each later one is decided by those whom the version before it names.
@@ -57,16 +57,16 @@
     pub votes_from: Option<u64>,
 }
 
-impl Durable {
+impl DurableState {
     /// A voter of a fleet that is founded now by these.
     pub fn founded(fleet: &str, founders: &[VoterId]) -> Self {
         let founders = founders.to_vec();
-        Durable { fleet: fleet.to_owned(), founders, votes_from: Some(1), ..Durable::default() }
+        DurableState { fleet: fleet.to_owned(), founders, votes_from: Some(1), ..DurableState::default() }
     }
 
     /// A voter whose store is lost, or that is to join: it must not vote where it may have voted before.
     pub fn lost(fleet: &str) -> Self {
-        Durable { fleet: fleet.to_owned(), ..Durable::default() }
+        DurableState { fleet: fleet.to_owned(), ..DurableState::default() }
     }
 
     pub fn newest(&self) -> u64 {
@@ -96,7 +96,7 @@
     }
 
     /// Whether promises, acceptances and grants may be given.
-    pub fn votes(&self) -> bool {
+    pub fn may_vote(&self) -> bool {
         self.votes_from.is_some_and(|from| self.newest() + 1 >= from)
     }
 }
@@ -156,7 +156,7 @@
     deciding: BTreeSet<VoterId>,
     /// s; the lease that the newest version grants.
     lease: f64,
-    durable: Durable,
+    durable: DurableState,
     dirty: bool,
     round: u64,
     own: Option<Own>,
@@ -181,7 +181,7 @@
 }
 
 impl Voter {
-    pub fn new(me: VoterId, durable: Durable, reading: DocumentReader, seed: u64, now: f64) -> Self {
+    pub fn new(me: VoterId, durable: DurableState, reading: DocumentReader, seed: u64, now: f64) -> Self {
         let mut rng = Rng::with_seed(seed ^ u64::from(me.0));
         let mut voter = Voter {
             me,
@@ -219,7 +219,7 @@
 
     /// All that decides what it does next but for times and chance, for the exhaustive check.
     #[doc(hidden)]
-    pub fn shape(&self) -> impl std::hash::Hash + use<> {
+    pub fn decision_state(&self) -> impl std::hash::Hash + use<> {
         let tried = self
             .tried
             .as_ref()
@@ -227,7 +227,7 @@
         (self.durable.clone(), self.round, self.own.as_ref().map(|o| o.value.clone()), tried)
     }
 
-    pub fn durable(&self) -> &Durable {
+    pub fn durable(&self) -> &DurableState {
         &self.durable
     }
 
@@ -236,7 +236,7 @@
     }
 
     /// What is to be done: what has to be durable first, if anything changed, and the words that rest on it.
-    pub fn take_output(&mut self) -> (Option<Durable>, Vec<Output>) {
+    pub fn take_output(&mut self) -> (Option<DurableState>, Vec<Output>) {
         let write = std::mem::take(&mut self.dirty).then(|| self.durable.clone());
         (write, std::mem::take(&mut self.out))
     }
@@ -275,7 +275,7 @@
 
     /// Begins a try for the next version, above every try that is known of.
     fn begin(&mut self, now: f64) {
-        if !self.durable.votes() || !self.listed() {
+        if !self.durable.may_vote() || !self.listed() {
             return;
         }
         self.round = self.round.max(self.durable.promised.round) + 1;
@@ -290,7 +290,7 @@
             until,
         });
         self.say_to_deciding(&VoterMessage::Prepare { number, ballot });
-        self.hear(now, self.me, VoterMessage::Prepare { number, ballot });
+        self.handle_message(now, self.me, VoterMessage::Prepare { number, ballot });
     }
 
     fn promised(
@@ -321,7 +321,7 @@
         let Value { id, text } = value;
         let word = VoterMessage::Accept { number, ballot, id, text };
         self.say_to_deciding(&word);
-        self.hear(now, self.me, word);
+        self.handle_message(now, self.me, word);
     }
 
     fn accepted(&mut self, now: f64, from: VoterId, number: u64, ballot: Ballot) {
@@ -338,7 +338,7 @@
         let Some(Value { id, text }) = t.value.clone() else { return };
         let word = VoterMessage::Learn { number, id, text };
         self.out.push(Output::Broadcast(word.clone()));
-        self.hear(now, self.me, word);
+        self.handle_message(now, self.me, word);
     }
 
     fn learn(&mut self, now: f64, number: u64, value: Value) {
@@ -394,8 +394,8 @@
     // Voters.
 
     /// A word of another voter's.
-    pub fn hear(&mut self, now: f64, from: VoterId, word: VoterMessage) {
-        let (newest, may_vote) = (self.durable.newest(), self.durable.votes() && self.listed());
+    pub fn handle_message(&mut self, now: f64, from: VoterId, word: VoterMessage) {
+        let (newest, may_vote) = (self.durable.newest(), self.durable.may_vote() && self.listed());
         if !word.plausible() {
             // It would end the count; no voter of ours says it.
             return;
@@ -514,7 +514,7 @@
     // Directors and operators.
 
     /// A question under a number, at which the answer comes.
-    pub fn ask(&mut self, now: f64, client: u64, ask: ClientRequest) {
+    pub fn handle_request(&mut self, now: f64, client: u64, ask: ClientRequest) {
         match ask {
             ClientRequest::Renew { name, boot, seq, have, lease, left, acts, wants } => {
                 let tell = self.renew(now, &name, Known { boot, until: lease, have, acts, heard: now, left });
@@ -551,7 +551,7 @@
                     format!("version {after} is not known here, the newest is {newest}")
                 } else if !self.listed() {
                     "this voter is not on the agreed list of voters".to_owned()
-                } else if !self.durable.votes() {
+                } else if !self.durable.may_vote() {
                     "this voter lost its store and does not vote before the others went on".to_owned()
                 } else if self.own.is_some() {
                     "another proposal is being decided here".to_owned()
@@ -574,7 +574,7 @@
                     newest: self.durable.newest(),
                     digest,
                     pending: self.durable.accepted.is_some(),
-                    votes: self.durable.votes(),
+                    votes: self.durable.may_vote(),
                     listed: self.listed(),
                     deciding: self.deciding.iter().copied().collect(),
                     changes: self.changes(now),
@@ -587,7 +587,7 @@
                 self.tell(client, VoterResponse::Content { found });
             }
             // In another's name than ours; what it says counts only where it is on the list.
-            ClientRequest::Voter { from, word } if from != self.me => self.hear(now, from, word),
+            ClientRequest::Voter { from, word } if from != self.me => self.handle_message(now, from, word),
             // Of the connection alone.
             ClientRequest::Voter { .. } | ClientRequest::Hello { .. } | ClientRequest::Ping => {}
         }
@@ -603,7 +603,7 @@
 
     /// Whether a director may go on under its name; `known.until` is the lease it takes.
     fn renew(&mut self, now: f64, name: &str, mut known: Known) -> Result<(), String> {
-        if !self.durable.votes() {
+        if !self.durable.may_vote() {
             return Err("this voter lost its store and does not vote before the others went on".to_owned());
         }
         if name.is_empty() || name.len() > LONG.0 || known.acts.len() > LONG.1 {
@@ -616,7 +616,7 @@
         if !(lease > 0.0 && lease <= LONGEST_LEASE) {
             return Err(format!("a lease of {lease} s, it has to be above 0 and {LONGEST_LEASE} s at most"));
         }
-        known.until = now + lease * (1.0 + 2.0 * RATE_ERROR);
+        known.until = now + lease * (1.0 + 2.0 * MAX_CLOCK_RATE_ERROR);
         match self.names.get(name) {
             Some(k) if k.boot != known.boot && k.until > now => {
                 return Err(format!("the name {name:?} is in use by another director"));
@@ -628,10 +628,10 @@
             {
                 return Err("this voter has just started and gives no name to who holds none yet".to_owned());
             }
-            None if self.names.len() >= NAMES => {
+            None if self.names.len() >= MAX_DIRECTOR_NAMES => {
                 self.names.retain(|_, k| k.until > now);
-                if self.names.len() >= NAMES {
-                    return Err(format!("{NAMES} directors are known, no more are taken"));
+                if self.names.len() >= MAX_DIRECTOR_NAMES {
+                    return Err(format!("{MAX_DIRECTOR_NAMES} directors are known, no more are taken"));
                 }
             }
             _ => {}
@@ -642,7 +642,7 @@
 
     /// s; how long a lease may last that was granted before our start.
     fn forgotten(&self) -> f64 {
-        self.lease * (1.0 + 2.0 * RATE_ERROR)
+        self.lease * (1.0 + 2.0 * MAX_CLOCK_RATE_ERROR)
     }
 
     // Time.
@@ -679,7 +679,7 @@
     }
 
     /// When something is due though nobody says anything.
-    pub fn next(&self) -> f64 {
+    pub fn next_timer_at(&self) -> f64 {
         let tried = self.tried.as_ref().map(|t| t.until);
         let own = self.own.as_ref().map(|own| own.until);
         let finish = (self.tried.is_none() && self.durable.accepted.is_some()).then_some(self.finish_at);
--- a/crates/kelpdoor-agreement/tests/chained.rs
+++ b/crates/kelpdoor-agreement/tests/chained.rs
@@ -9,7 +9,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use kelpdoor_agreement::{
-    Chosen, ClientRequest, Durable, Follower, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
+    Chosen, ClientRequest, DurableState, Follower, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
 };
 use texts::{READING, Texts};
 
@@ -49,7 +49,7 @@
 
     fn key(&self) -> u64 {
         let mut h = DefaultHasher::new();
-        self.voters.iter().for_each(|v| v.shape().hash(&mut h));
+        self.voters.iter().for_each(|v| v.decision_state().hash(&mut h));
         // Numbers of questions tell nothing apart: each line has one out, and what is late answers that one.
         let all = format!("{:?}{:?}{:?}", self.directors, self.late, self.first);
         for part in all.split("seq: ").flat_map(|p| p.split("out: Some((")) {
@@ -82,7 +82,7 @@
         let now = self.now();
         let ask = self.directors[d].next_request(now, voter)?;
         let v = &mut self.voters[usize::from(voter.0)];
-        v.ask(now, d as u64, ask);
+        v.handle_request(now, d as u64, ask);
         v.take_output().1.into_iter().find_map(|o| match o {
             Output::Response(_, tell) => Some(tell),
             _ => None,
@@ -106,7 +106,7 @@
             event(&mut |s| {
                 s.chosen += 1;
                 let value = Value { id: s.chosen, text: text(s.chosen) };
-                s.voters[0].ask(
+                s.voters[0].handle_request(
                     s.now(),
                     9,
                     ClientRequest::Propose { after: s.chosen - 1, value, sure: false },
@@ -117,7 +117,7 @@
         if self.voters[1].durable().newest() < self.chosen {
             event(&mut |s| {
                 let (number, id, text) = (s.chosen, s.chosen, text(s.chosen));
-                s.voters[1].hear(s.now(), DECIDES, VoterMessage::Learn { number, id, text });
+                s.voters[1].handle_message(s.now(), DECIDES, VoterMessage::Learn { number, id, text });
                 s.voters[1].take_output();
             });
         }
@@ -157,7 +157,7 @@
 
 /// States seen, looks at which a director acted, and how often one acted on two and on three versions.
 fn explore(versions: u64, ticks: u32, most: usize) -> (usize, u64, usize) {
-    let knows = || Durable { chosen: vec![version(1)], ..Durable::founded("f", &[DECIDES]) };
+    let knows = || DurableState { chosen: vec![version(1)], ..DurableState::founded("f", &[DECIDES]) };
     let voters = [0, 1].map(|k| Voter::new(VoterId(k), knows(), READING, 7, 0.0));
     let directors = [0, 1].map(|d| Follower::<Texts>::new(&format!("d{d}"), d + 1, None, ()));
     let (late, first) = (BTreeMap::new(), BTreeMap::new());
--- a/crates/kelpdoor-agreement/tests/chains.rs
+++ b/crates/kelpdoor-agreement/tests/chains.rs
@@ -7,8 +7,9 @@
 use expect_test::expect;
 use fastrand::Rng;
 use kelpdoor_agreement::{
-    CatchUp, Chosen, ClientRequest, Delta, Durable, Edit, Follower, MAX_DOCUMENT, MAX_LOG_BYTES,
-    MAX_LOG_VERSIONS, Output, RATE_ERROR, Value, Voter, VoterId, VoterMessage, VoterResponse, lease_of,
+    CatchUp, Chosen, ClientRequest, Delta, DurableState, Edit, Follower, MAX_CLOCK_RATE_ERROR, MAX_DOCUMENT,
+    MAX_LOG_BYTES, MAX_LOG_VERSIONS, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
+    lease_duration,
 };
 use texts::{READING, Texts};
 
@@ -184,19 +185,19 @@
             }
             assert!(a.label().len() < 512);
         }
-        let hold = lease_of(2.0) * (1.0 + 2.0 * RATE_ERROR);
+        let hold = lease_duration(2.0) * (1.0 + 2.0 * MAX_CLOCK_RATE_ERROR);
         assert!(most <= 11 && number > 10, "{most} folds at {rate} a second");
         assert!(oldest_since <= hold * 1.125 + 1e-9, "{oldest_since} at {rate} a second");
     }
 }
 
 /// A voter that learns these one after the other; what it has on disk.
-fn learned(numbers: impl Iterator<Item = u64>, text: impl Fn(u64) -> String) -> (Voter, Durable) {
+fn learned(numbers: impl Iterator<Item = u64>, text: impl Fn(u64) -> String) -> (Voter, DurableState) {
     let founders = [0, 1, 2].map(VoterId);
-    let mut v = Voter::new(VoterId(0), Durable::founded("f", &founders), READING, 1, 0.0);
+    let mut v = Voter::new(VoterId(0), DurableState::founded("f", &founders), READING, 1, 0.0);
     let mut disk = v.durable().clone();
     for number in numbers {
-        v.hear(0.0, VoterId(1), VoterMessage::Learn { number, id: number, text: text(number) });
+        v.handle_message(0.0, VoterId(1), VoterMessage::Learn { number, id: number, text: text(number) });
         disk = v.take_output().0.unwrap_or(disk);
     }
     (v, disk)
@@ -213,7 +214,7 @@
         acts: String::new(),
         wants,
     };
-    v.ask(5.0, 1, renew);
+    v.handle_request(5.0, 1, renew);
     match v.take_output().1.pop() {
         Some(Output::Response(_, VoterResponse::Granted { document, chain, .. })) => {
             (document.map(|c| c.number), chain.iter().map(|d| d.number).collect())
@@ -235,8 +236,8 @@
     let mut again = Voter::new(VoterId(0), disk, READING, 1, 0.0);
     assert_eq!(answer(&mut again, 2, CatchUp::Chain), (None, vec![3, 4, 5]));
     // A version was missed: nothing before it joins.
-    again.hear(0.0, VoterId(1), VoterMessage::Learn { number: 7, id: 7, text: text(7) });
-    again.hear(0.0, VoterId(1), VoterMessage::Learn { number: 8, id: 8, text: text(8) });
+    again.handle_message(0.0, VoterId(1), VoterMessage::Learn { number: 7, id: 7, text: text(7) });
+    again.handle_message(0.0, VoterId(1), VoterMessage::Learn { number: 8, id: 8, text: text(8) });
     assert_eq!(answer(&mut again, 5, CatchUp::Chain), (None, vec![]));
     assert_eq!(answer(&mut again, 5, CatchUp::Either), (Some(8), vec![]));
     assert_eq!(answer(&mut again, 7, CatchUp::Either), (None, vec![8]));
@@ -246,7 +247,7 @@
 fn a_voter_counts_changes_a_second_for_operators() {
     let (mut v, _) = learned(1..=30, text);
     let mut changes = |now: f64| {
-        v.ask(now, 1, ClientRequest::Status);
+        v.handle_request(now, 1, ClientRequest::Status);
         match v.take_output().1.pop() {
             Some(Output::Response(_, VoterResponse::Status { changes, .. })) => changes,
             other => panic!("{other:?}"),
@@ -254,7 +255,7 @@
     };
     assert_eq!([changes(0.0), changes(10.0), changes(60.0), changes(60.5)], [30.0, 3.0, 0.5, 0.0]);
     let (mut fast, _) = learned(1..=1000, text);
-    fast.ask(20.0, 1, ClientRequest::Status);
+    fast.handle_request(20.0, 1, ClientRequest::Status);
     let told = fast.take_output().1.pop();
     assert!(
         matches!(told, Some(Output::Response(_, VoterResponse::Status { changes, .. })) if changes == MAX_LOG_VERSIONS as f64 / 20.0)
@@ -312,7 +313,7 @@
     );
     let store = r#"{"fleet":"f","founders":[0],"chosen":[{"number":3,"value":{"id":1,"text":"t"}}],
                     "promised":{"round":0,"voter":0},"accepted":null,"votes_from":1}"#;
-    let durable: Durable = serde_json::from_str(store).unwrap();
+    let durable: DurableState = serde_json::from_str(store).unwrap();
     assert!(durable.newest() == 3 && durable.log.is_empty() && durable.chain(2).is_none());
     // And the other way round: what has no chain says nothing of one.
     let plain = VoterResponse::Granted { seq: 2, newest: 3, pending: false, document: None, chain: vec![] };
--- a/crates/kelpdoor-agreement/tests/exhaustive.rs
+++ b/crates/kelpdoor-agreement/tests/exhaustive.rs
@@ -7,7 +7,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use kelpdoor_agreement::{
-    Ballot, Chosen, ClientRequest, Durable, Output, Value, Voter, VoterId, VoterMessage,
+    Ballot, Chosen, ClientRequest, DurableState, Output, Value, Voter, VoterId, VoterMessage,
 };
 use texts::READING;
 
@@ -18,7 +18,7 @@
     let of = |salt: u8| {
         let mut h = DefaultHasher::new();
         salt.hash(&mut h);
-        voters.iter().for_each(|v| v.shape().hash(&mut h));
+        voters.iter().for_each(|v| v.decision_state().hash(&mut h));
         rest.hash(&mut h);
         h.finish()
     };
@@ -71,11 +71,12 @@
 }
 
 fn explore(proposers: usize, restarts: u8, again: u8, most: usize) -> (usize, usize) {
-    let voters = FOUNDERS.map(|v| Voter::new(v, Durable::founded("f", &FOUNDERS), READING, 7, 0.0)).to_vec();
+    let voters =
+        FOUNDERS.map(|v| Voter::new(v, DurableState::founded("f", &FOUNDERS), READING, 7, 0.0)).to_vec();
     let mut first = State { voters, net: BTreeSet::new(), restarts, again, accepted: BTreeMap::new() };
     for k in 0..proposers {
         let value = Value { id: k as u64 + 1, text: format!("text {k}") };
-        first.voters[k].ask(0.0, 1, ClientRequest::Propose { after: 0, value, sure: false });
+        first.voters[k].handle_request(0.0, 1, ClientRequest::Propose { after: 0, value, sure: false });
         first.flush(k, false);
     }
     let mut seen = HashSet::from([first.key()]);
@@ -98,7 +99,7 @@
                 s.net.remove(word);
                 let (from, to, word) = word.clone();
                 let to = usize::from(to.0);
-                s.voters[to].hear(0.0, from, word);
+                s.voters[to].handle_message(0.0, from, word);
                 s.flush(to, lost);
                 if lost {
                     s.restart(to);
@@ -221,27 +222,27 @@
 
 fn hand_over(proposals: u8, again: u8, restarts: u8, most: usize) -> (usize, usize) {
     let first = Chosen { number: 1, value: Value { id: 1, text: BEFORE.into() } };
-    let knows = |votes_from| Durable {
+    let knows = |votes_from| DurableState {
         chosen: vec![first.clone()],
         votes_from: Some(votes_from),
-        ..Durable::founded("f", &FOUNDERS)
+        ..DurableState::founded("f", &FOUNDERS)
     };
     // Voter 3 heard the others at version 1.
     let voters = (0..4).map(|k| Voter::new(VoterId(k), knows(if k < 3 { 1 } else { 3 }), READING, 7, 0.0));
     let (net, accepted) = (BTreeSet::new(), BTreeMap::new());
     let mut start = Handing { voters: voters.collect(), net, proposals, again, restarts, accepted };
     let value = Value { id: 2, text: AFTER.into() };
-    start.voters[0].ask(0.0, 1, ClientRequest::Propose { after: 1, value, sure: false });
+    start.voters[0].handle_request(0.0, 1, ClientRequest::Propose { after: 1, value, sure: false });
     start.flush(0);
     // One majority has promised; voter 2 may hear of nothing for long.
     for (from, to, word) in std::mem::take(&mut start.net) {
         if to == VoterId(1) {
-            start.voters[1].hear(0.0, from, word);
+            start.voters[1].handle_message(0.0, from, word);
             start.flush(1);
         }
     }
     for (from, _, word) in std::mem::take(&mut start.net) {
-        start.voters[0].hear(0.0, from, word);
+        start.voters[0].handle_message(0.0, from, word);
     }
     start.flush(0);
     let mut seen = HashSet::from([start.key()]);
@@ -260,7 +261,7 @@
             let mut s = state.clone();
             s.net.remove(word);
             let (from, to, word) = word.clone();
-            s.voters[usize::from(to.0)].hear(0.0, from, word);
+            s.voters[usize::from(to.0)].handle_message(0.0, from, word);
             s.flush(usize::from(to.0));
             next.push(s);
         }
@@ -270,7 +271,7 @@
                 let mut s = state.clone();
                 s.proposals -= 1;
                 let value = Value { id: 10 + k as u64, text: format!("{k} by 0 1 3") };
-                s.voters[k].ask(0.0, 1, ClientRequest::Propose { after: 2, value, sure: false });
+                s.voters[k].handle_request(0.0, 1, ClientRequest::Propose { after: 2, value, sure: false });
                 s.flush(k);
                 next.push(s);
             }
--- a/crates/kelpdoor-agreement/tests/simulated.rs
+++ b/crates/kelpdoor-agreement/tests/simulated.rs
@@ -7,8 +7,8 @@
 
 use fastrand::Rng;
 use kelpdoor_agreement::{
-    Chosen, ClientRequest, Durable, Follower, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
-    lease_of,
+    Chosen, ClientRequest, DurableState, Follower, Output, Value, Voter, VoterId, VoterMessage,
+    VoterResponse, lease_duration,
 };
 use texts::{READING, Texts};
 
@@ -70,7 +70,7 @@
     due: BinaryHeap<Due>,
     voters: Vec<Voter>,
     /// What each voter last wrote: it comes back with that.
-    disks: Vec<Durable>,
+    disks: Vec<DurableState>,
     followers: Vec<Follower<Texts>>,
     /// s, as the documents state it.
     contradiction: f64,
@@ -112,7 +112,8 @@
             .collect();
         let ids: Vec<VoterId> = (0..founders as u8).map(VoterId).collect();
         let of = |k: usize| {
-            let durable = if k < founders { Durable::founded("f", &ids) } else { Durable::lost("f") };
+            let durable =
+                if k < founders { DurableState::founded("f", &ids) } else { DurableState::lost("f") };
             Voter::new(VoterId(k as u8), durable, READING, seed ^ k as u64, 0.0)
         };
         let director = |k: usize| Follower::new(&format!("d{k}"), seed + k as u64, None, ());
@@ -225,7 +226,7 @@
 
     fn restart(&mut self, k: usize, disk_lost: bool) {
         if disk_lost {
-            self.disks[k] = Durable::lost("f");
+            self.disks[k] = DurableState::lost("f");
         }
         let durable = self.disks[k].clone();
         self.sites[k].life += 1;
@@ -321,7 +322,7 @@
         if t >= self.polled[f].1 && !self.paused(0) && !cut(site, 0) && !cut(0, site) {
             self.polled[f] = (
                 self.voters[0].durable().newest().max(self.polled[f].0),
-                t + 0.25 * lease_of(self.contradiction),
+                t + 0.25 * lease_duration(self.contradiction),
             );
         }
         let acts = self.polled[f].0;
@@ -395,7 +396,7 @@
                     return self.at(at, Event::Voter(k, life, from, word));
                 }
                 let now = self.local(k);
-                self.voters[k].hear(now, from, word);
+                self.voters[k].handle_message(now, from, word);
                 self.flush(k);
             }
             Event::Asked(k, life, f, ask) => {
@@ -407,7 +408,7 @@
                     return self.at(at, Event::Asked(k, life, f, ask));
                 }
                 let now = self.local(k);
-                self.voters[k].ask(now, f as u64, ask);
+                self.voters[k].handle_request(now, f as u64, ask);
                 self.flush(k);
             }
             Event::Told(f, life, k, tell) => {
@@ -430,7 +431,7 @@
                 }
                 let ClientRequest::Propose { value, .. } = &ask else { return };
                 let (now, client) = (self.local(k), value.id);
-                self.voters[k].ask(now, client, ask);
+                self.voters[k].handle_request(now, client, ask);
                 self.flush(k);
             }
             Event::Outcome(value, tell) => {
@@ -668,6 +669,6 @@
     println!(
         "{directors} directors, a voter gone: {gone}: all heed it after {beside:.2} s, act on it alone after {alone:.2} s, at most"
     );
-    let lease = lease_of(CONTRADICTION);
+    let lease = lease_duration(CONTRADICTION);
     assert!(beside < lease && alone < CONTRADICTION + 0.1, "{beside} {alone}");
 }
--- a/crates/kelpdoor-agreement/tests/table.rs
+++ b/crates/kelpdoor-agreement/tests/table.rs
@@ -5,8 +5,8 @@
 use expect_test::expect;
 use kelpdoor_agreement::keys::{Class, both, may_follow, numbering};
 use kelpdoor_agreement::{
-    Ballot, CatchUp, Chosen, ClientRequest, Durable, Follower, Output, Value, Voter, VoterId, VoterMessage,
-    VoterResponse,
+    Ballot, CatchUp, Chosen, ClientRequest, DurableState, Follower, Output, Value, Voter, VoterId,
+    VoterMessage, VoterResponse,
 };
 use kelpdoor_script::Shared;
 use texts::{READING, Texts};
@@ -14,7 +14,7 @@
 const FOUNDERS: [VoterId; 3] = [VoterId(0), VoterId(1), VoterId(2)];
 
 fn voters() -> Vec<Voter> {
-    FOUNDERS.map(|v| Voter::new(v, Durable::founded("f", &FOUNDERS), READING, 1, 0.0)).to_vec()
+    FOUNDERS.map(|v| Voter::new(v, DurableState::founded("f", &FOUNDERS), READING, 1, 0.0)).to_vec()
 }
 
 fn value(id: u64) -> Value {
@@ -44,13 +44,13 @@
             return told;
         }
         for (from, to, word) in net {
-            voters[usize::from(to.0)].hear(now, VoterId(from), word);
+            voters[usize::from(to.0)].handle_message(now, VoterId(from), word);
         }
     }
 }
 
 fn propose(voters: &mut [Voter], k: usize, after: u64, id: u64) {
-    voters[k].ask(0.0, 1, ClientRequest::Propose { after, value: value(id), sure: false });
+    voters[k].handle_request(0.0, 1, ClientRequest::Propose { after, value: value(id), sure: false });
 }
 
 #[test]
@@ -112,7 +112,7 @@
     propose(&mut v, 0, 0, 1);
     pump(&mut v, 0.0, |from, to, w| to == 1 || from == 1 || matches!(w, VoterMessage::Accepted { .. }));
     assert!(v[0].durable().accepted.is_some() && v[2].durable().accepted.is_some());
-    v[2] = Voter::new(VoterId(2), Durable::lost("f"), READING, 1, 0.0);
+    v[2] = Voter::new(VoterId(2), DurableState::lost("f"), READING, 1, 0.0);
     v
 }
 
@@ -146,7 +146,7 @@
     }
     // It may have voted for version 2.
     assert_eq!((v[2].durable().newest(), v[2].durable().votes_from), (1, Some(3)));
-    v[2].ask(2.0, 1, ClientRequest::Propose { after: 1, value: value(2), sure: false });
+    v[2].handle_request(2.0, 1, ClientRequest::Propose { after: 1, value: value(2), sure: false });
     let told = pump(&mut v, 2.0, |from, to, _| from == 0 || to == 0);
     assert!(
         matches!(&told[..], [VoterResponse::NotTaken { why }] if why.contains("lost its store")),
@@ -162,7 +162,7 @@
         acts: String::new(),
         wants: CatchUp::Document,
     };
-    v[2].ask(9.0, 1, renew(1));
+    v[2].handle_request(9.0, 1, renew(1));
     assert!(
         matches!(&pump(&mut v, 9.0, |_, _, _| false)[..], [VoterResponse::Refused { .. }]),
         "it grants nothing"
@@ -172,8 +172,8 @@
     pump(&mut v, 9.0, |_, _, _| false);
     propose(&mut v, 0, 1, 3);
     assert_eq!(pump(&mut v, 9.0, |_, _, _| false), [VoterResponse::Agreed { number: 2 }]);
-    assert!(v[2].durable().votes());
-    v[2].ask(99.0, 1, renew(2));
+    assert!(v[2].durable().may_vote());
+    v[2].handle_request(99.0, 1, renew(2));
     assert!(matches!(&pump(&mut v, 99.0, |_, _, _| false)[..], [VoterResponse::Granted { newest: 2, .. }]));
 }
 
@@ -183,24 +183,24 @@
     propose(&mut v, 0, 0, 1);
     pump(&mut v, 0.0, |_, to, _| to == 2);
     // Before it votes for anything, 2 asks how far the others are, and their answers are on the way for long.
-    v[2] = Voter::new(VoterId(2), Durable::lost("f"), READING, 5, 0.0);
+    v[2] = Voter::new(VoterId(2), DurableState::lost("f"), READING, 5, 0.0);
     v[2].tick(0.0);
     let mut late = Vec::new();
     for (_, out) in [v[2].take_output()] {
         for o in out {
             let Output::Broadcast(word) = o else { continue };
             for to in [VoterId(0), VoterId(1)] {
-                v[usize::from(to.0)].hear(0.0, VoterId(2), word.clone());
+                v[usize::from(to.0)].handle_message(0.0, VoterId(2), word.clone());
                 late.extend(v[usize::from(to.0)].take_output().1.into_iter().map(|o| (to, o)));
             }
         }
     }
     assert_eq!(late.len(), 4, "{late:?}");
     // Then it came back, voted for version 2, and lost its disk.
-    v[2] = Voter::new(VoterId(2), Durable::lost("f"), READING, 6, 0.0);
+    v[2] = Voter::new(VoterId(2), DurableState::lost("f"), READING, 6, 0.0);
     for (from, o) in late {
         if let Output::Message(_, word) = o {
-            v[2].hear(0.0, from, word);
+            v[2].handle_message(0.0, from, word);
         }
     }
     assert_eq!((v[2].durable().newest(), v[2].durable().votes_from), (1, None));
@@ -212,7 +212,7 @@
 /// Four voters, of which the last is to join the first three.
 fn and_one_to_join() -> Vec<Voter> {
     let mut v = voters();
-    v.push(Voter::new(VoterId(3), Durable::lost("f"), READING, 1, 0.0));
+    v.push(Voter::new(VoterId(3), DurableState::lost("f"), READING, 1, 0.0));
     propose(&mut v, 0, 0, 1);
     pump(&mut v, 0.0, |_, _, _| false);
     for now in [0.5, 0.6] {
@@ -224,7 +224,7 @@
 
 fn list(voters: &mut [Voter], k: usize, after: u64, id: u64, by: &str) {
     let value = Value { id, text: format!("text {id} by {by}") };
-    voters[k].ask(1.0, 1, ClientRequest::Propose { after, value, sure: false });
+    voters[k].handle_request(1.0, 1, ClientRequest::Propose { after, value, sure: false });
 }
 
 #[test]
@@ -263,7 +263,7 @@
 #[test]
 fn five_of_three_have_one_majority_though_some_still_count_three() {
     let mut v = and_one_to_join();
-    v.push(Voter::new(VoterId(4), Durable::lost("f"), READING, 1, 0.0));
+    v.push(Voter::new(VoterId(4), DurableState::lost("f"), READING, 1, 0.0));
     v[4].tick(1.0);
     pump(&mut v, 1.0, |_, _, _| false);
     // 2 hears nothing of it, and counts three.
@@ -322,7 +322,7 @@
     list(&mut v, 0, 1, 8, "1 2 3");
     pump(&mut v, 1.0, |_, to, w| matches!(w, VoterMessage::Accepted { .. }) && to != 2);
     assert!(v[..3].iter().all(|v| v.durable().accepted.is_some()));
-    v[2] = Voter::new(VoterId(2), Durable::lost("f"), READING, 9, 2.0);
+    v[2] = Voter::new(VoterId(2), DurableState::lost("f"), READING, 9, 2.0);
     v[2].tick(2.0);
     pump(&mut v, 2.0, |_, _, _| false);
     assert_eq!((v[2].durable().newest(), v[2].durable().votes_from), (1, None));
@@ -344,20 +344,24 @@
         panic!("{out:?}")
     };
     let (number, ballot) = (*number, *ballot);
-    v[0].hear(1.0, VoterId(3), VoterMessage::Promise { number, ballot, accepted: None });
+    v[0].handle_message(1.0, VoterId(3), VoterMessage::Promise { number, ballot, accepted: None });
     assert_eq!(v[0].take_output().1, [], "no majority with 3");
-    v[0].hear(1.0, VoterId(1), VoterMessage::Promise { number, ballot, accepted: None });
+    v[0].handle_message(1.0, VoterId(1), VoterMessage::Promise { number, ballot, accepted: None });
     assert!(matches!(
         v[0].take_output().1[..],
         [Output::Message(_, VoterMessage::Accept { .. }), Output::Message(..)]
     ));
-    v[0].hear(1.0, VoterId(3), VoterMessage::Accepted { number, ballot });
+    v[0].handle_message(1.0, VoterId(3), VoterMessage::Accepted { number, ballot });
     assert_eq!(v[0].durable().newest(), 1);
     // It could vote for version 3 if it were named.
-    v[3].hear(1.0, VoterId(0), VoterMessage::Learn { number: 2, id: 8, text: "text 8 by 0 1 2".into() });
+    v[3].handle_message(
+        1.0,
+        VoterId(0),
+        VoterMessage::Learn { number: 2, id: 8, text: "text 8 by 0 1 2".into() },
+    );
     v[3].take_output();
-    assert!(v[3].durable().votes() && !v[3].listed());
-    v[3].hear(1.0, VoterId(0), VoterMessage::Prepare { number: 3, ballot });
+    assert!(v[3].durable().may_vote() && !v[3].listed());
+    v[3].handle_message(1.0, VoterId(0), VoterMessage::Prepare { number: 3, ballot });
     assert_eq!(v[3].take_output().1, [], "3 promises nothing");
 }
 
@@ -366,11 +370,11 @@
     let mut v = voters();
     let ballot = Ballot { round: u64::MAX, voter: VoterId(1) };
     let (number, id, text) = (u64::MAX, 1, String::new());
-    v[0].hear(0.0, VoterId(1), VoterMessage::Learn { number, id, text: text.clone() });
-    v[0].hear(0.0, VoterId(1), VoterMessage::Prepare { number: 1, ballot });
-    v[0].hear(0.0, VoterId(1), VoterMessage::Accept { number: 1, ballot, id, text });
-    v[0].hear(0.0, VoterId(1), VoterMessage::Refuse { number: 1, promised: ballot });
-    assert_eq!(v[0].durable(), &Durable::founded("f", &FOUNDERS));
+    v[0].handle_message(0.0, VoterId(1), VoterMessage::Learn { number, id, text: text.clone() });
+    v[0].handle_message(0.0, VoterId(1), VoterMessage::Prepare { number: 1, ballot });
+    v[0].handle_message(0.0, VoterId(1), VoterMessage::Accept { number: 1, ballot, id, text });
+    v[0].handle_message(0.0, VoterId(1), VoterMessage::Refuse { number: 1, promised: ballot });
+    assert_eq!(v[0].durable(), &DurableState::founded("f", &FOUNDERS));
     propose(&mut v, 0, 0, 1);
     assert_eq!(pump(&mut v, 0.0, |_, _, _| false), [VoterResponse::Agreed { number: 1 }]);
     let mut f = Follower::<Texts>::new("d", 1, None, ());
@@ -385,7 +389,7 @@
     let mut v = voters();
     let mut ask = |now: f64, boot: u64, left: f64| {
         let (name, acts) = ("d".to_owned(), String::new());
-        v[0].ask(
+        v[0].handle_request(
             now,
             1,
             ClientRequest::Renew {
@@ -428,7 +432,7 @@
     let mut voter = Voter::new(VoterId(0), durable, READING, 1, 100.0);
     let mut ask = |now: f64, name: &str, left: f64| {
         let (name, acts) = (name.to_owned(), String::new());
-        voter.ask(
+        voter.handle_request(
             now,
             1,
             ClientRequest::Renew {
--- a/crates/kelpdoor-agreement/tests/texts/mod.rs
+++ b/crates/kelpdoor-agreement/tests/texts/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use kelpdoor_agreement::{DocumentReader, Rules, VoterId, lease_of};
+use kelpdoor_agreement::{DocumentReader, Rules, VoterId, lease_duration};
 
 /// `.. by 0 1 2 for 14`: who decides after it, by default the first three, and the longest contradiction, by default 2 s.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     }
 
     fn lease(&self) -> f64 {
-        lease_of(contradiction(&self.newest))
+        lease_duration(contradiction(&self.newest))
     }
 
     fn voters(&self) -> Vec<VoterId> {
@@ -53,4 +53,5 @@
     }
 }
 
-pub const READING: DocumentReader = DocumentReader { lease: |text| lease_of(contradiction(text)), voters };
+pub const READING: DocumentReader =
+    DocumentReader { lease: |text| lease_duration(contradiction(text)), voters };
--- a/crates/kelpdoor-keeper/src/voter.rs
+++ b/crates/kelpdoor-keeper/src/voter.rs
@@ -10,8 +10,8 @@
 
 use kelpdoor_agreement::keys::may_follow;
 use kelpdoor_agreement::{
-    ClientRequest, DocumentReader, Durable, MAX_DOCUMENT, MAX_LINE, Output, Voter, VoterId, VoterMessage,
-    VoterResponse, lease_of,
+    ClientRequest, DocumentReader, DurableState, MAX_DOCUMENT, MAX_LINE, Output, Voter, VoterId,
+    VoterMessage, VoterResponse, lease_duration,
 };
 use kelpdoor_clock::Steady;
 use kelpdoor_script::{Fault, Shared};
@@ -53,7 +53,7 @@
 
 /// How agreed documents are read. One that does not read, which no voter lets pass, grants no lease and names nobody.
 pub const READING: DocumentReader = DocumentReader {
-    lease: |text| read(text).map_or(UNREAD, |s| lease_of(s.directors.contradiction)),
+    lease: |text| read(text).map_or(UNREAD, |s| lease_duration(s.directors.contradiction)),
     voters: |text| {
         read(text).map_or_else(|_| Vec::new(), |s| s.voters.at.keys().copied().map(VoterId).collect())
     },
@@ -151,7 +151,8 @@
         return Err(io::Error::other("a fleet is founded by three or five voters, this one among them"));
     }
     let path = options.store.clone();
-    let kept = tokio::task::spawn_blocking(move || kelpdoor_kept::load::<Durable>(&path, FORMAT)).await?;
+    let kept =
+        tokio::task::spawn_blocking(move || kelpdoor_kept::load::<DurableState>(&path, FORMAT)).await?;
     let shown = options.store.display();
     let durable = match (kept.map_err(io::Error::other)?, options.found) {
         (Some(_), true) => {
@@ -162,10 +163,10 @@
             return Err(io::Error::other(why));
         }
         (Some(d), false) => d,
-        (None, true) => Durable::founded(&named, &founders),
+        (None, true) => DurableState::founded(&named, &founders),
         (None, false) => {
             tracing::warn!("{shown}: no store; not voting before the others are heard and have gone on");
-            Durable::lost(&named)
+            DurableState::lost(&named)
         }
     };
     save(&options.store, durable.clone()).await.map_err(io::Error::other)?;
@@ -173,7 +174,7 @@
     let address = listener.local_addr()?;
     let steady = Steady::new(options.clock_rate);
     let voter = Voter::new(options.me, durable, READING, fastrand::u64(..), steady.now());
-    tracing::info!(newest = voter.durable().newest(), votes = voter.durable().votes(), "voting");
+    tracing::info!(newest = voter.durable().newest(), votes = voter.durable().may_vote(), "voting");
     let (to, from) = mpsc::channel(ASKS);
     let mut tasks = JoinSet::new();
     let (heard, said) = mpsc::channel(WORDS);
@@ -206,7 +207,7 @@
 }
 
 /// On disk when this returns.
-async fn save(path: &std::path::Path, durable: Durable) -> Result<(), String> {
+async fn save(path: &std::path::Path, durable: DurableState) -> Result<(), String> {
     let path = path.to_owned();
     let saved = tokio::task::spawn_blocking(move || kelpdoor_kept::save(&path, FORMAT, &durable)).await;
     saved.map_err(|e| e.to_string())?.map_err(|e| e.to_string())
@@ -251,7 +252,7 @@
     ) -> Result<(), String> {
         loop {
             let mut word = None;
-            let wait = (self.voter.next() - self.steady.now()).clamp(0.001, IDLE.as_secs_f64());
+            let wait = (self.voter.next_timer_at() - self.steady.now()).clamp(0.001, IDLE.as_secs_f64());
             let first = tokio::select! {
                 first = from.recv() => first,
                 heard = said.recv() => {
@@ -371,7 +372,9 @@
             ClientRequest::Propose { after, value, sure } => {
                 match self.may_follow(now, after, &value.text, sure) {
                     Err(why) => self.tell(conn, VoterResponse::NotTaken { why }),
-                    Ok(()) => self.voter.ask(now, conn, ClientRequest::Propose { after, value, sure }),
+                    Ok(()) => {
+                        self.voter.handle_request(now, conn, ClientRequest::Propose { after, value, sure })
+                    }
                 }
             }
             ClientRequest::Voter { from, word } => {
@@ -380,7 +383,7 @@
                 }
                 self.hear(now, from, word);
             }
-            ask => self.voter.ask(now, conn, ask),
+            ask => self.voter.handle_request(now, conn, ask),
         }
     }
 
@@ -394,7 +397,7 @@
             return;
         }
         if from != self.me {
-            self.voter.hear(now, from, word);
+            self.voter.handle_message(now, from, word);
         }
     }
 
--- a/crates/kelpdoor-lab/src/scale/changes.rs
+++ b/crates/kelpdoor-lab/src/scale/changes.rs
@@ -126,7 +126,7 @@
 fn costs(all: &Scale, of: &Options, to: &mut Points) {
     for &contradiction in &of.contradictions {
         for (seed, &document) in (1..=all.seeds).flat_map(|s| of.documents.iter().map(move |d| (s, d))) {
-            let lease = kelpdoor_agreement::lease_of(contradiction);
+            let lease = kelpdoor_agreement::lease_duration(contradiction);
             to.points.push(Point {
                 role: "director".into(),
                 what: "processor time of following, steady".into(),
@@ -162,7 +162,7 @@
 /// s of virtual time of so many directors that come to that many questions at most.
 fn span(of: &Options, directors: usize, contradiction: f64) -> f64 {
     // Four in each lease to each voter.
-    let rate = directors as f64 * VOTERS as f64 * 4.0 / kelpdoor_agreement::lease_of(contradiction);
+    let rate = directors as f64 * VOTERS as f64 * 4.0 / kelpdoor_agreement::lease_duration(contradiction);
     of.span.min((of.questions / rate).max(1.0)).round()
 }
 
@@ -357,7 +357,7 @@
             voters: voters.at.clone(),
             first: 0,
             directors: plan.directors,
-            within: kelpdoor_agreement::lease_of(plan.contradiction),
+            within: kelpdoor_agreement::lease_duration(plan.contradiction),
         };
         let hollows = hollow::start(spec);
         let come = Instant::now() + COME;
--- a/crates/kelpdoor-lab/src/scale/follow.rs
+++ b/crates/kelpdoor-lab/src/scale/follow.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use kelpdoor_agreement::{ClientRequest, DocumentReader, Rules, VoterId, VoterResponse, lease_of};
+use kelpdoor_agreement::{ClientRequest, DocumentReader, Rules, VoterId, VoterResponse, lease_duration};
 
 /// Versions that a board counts at most; a run has some thousands.
 const VERSIONS: u64 = 100_000;
 
 /// Of a document its first line alone is read, as [`head`] writes it.
 pub const FIRST_LINE: DocumentReader = DocumentReader {
-    lease: |text| first_line(text).map_or(0.0, |(contradiction, _)| lease_of(contradiction)),
+    lease: |text| first_line(text).map_or(0.0, |(contradiction, _)| lease_duration(contradiction)),
     voters: |text| first_line(text).map(|(_, voters)| voters).unwrap_or_default(),
 };
 
@@ -42,7 +42,7 @@
     }
 
     fn lease(&self) -> f64 {
-        lease_of(self.contradiction)
+        lease_duration(self.contradiction)
     }
 
     fn voters(&self) -> Vec<VoterId> {
--- a/crates/kelpdoor-lab/src/scale/plan/events.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/events.rs
@@ -1,6 +1,6 @@
 //! What piles up where when something fails: worked out from the target alone.
 
-use kelpdoor_agreement::{RENEWALS_PER_LEASE, lease_of};
+use kelpdoor_agreement::{RENEWALS_PER_LEASE, lease_duration};
 
 use super::show::{figure, number, table as show};
 use crate::scale::target::{Aim, DAY};
@@ -22,7 +22,7 @@
     // Viewers of directors lost, on those that are left.
     let on_others = |lost: f64| held * lost / (t.directors - lost).max(1.0);
     let alone = held / a.setups_a_second;
-    let questions = t.directors * RENEWALS_PER_LEASE / lease_of(a.contradiction);
+    let questions = t.directors * RENEWALS_PER_LEASE / lease_duration(a.contradiction);
     let region = t.directors / t.regions;
     let versions = aim.changes() * f.region_cut;
     let setups = |viewers: f64| figure(viewers / a.setups_a_second, "s");
@@ -80,7 +80,7 @@
             ),
             lasts: format!(
                 "a lease is {}; measured by `scale voters`",
-                figure(lease_of(a.contradiction), "s")
+                figure(lease_duration(a.contradiction), "s")
             ),
             bound: "connections and words waiting at a voter; a majority of the others renews meanwhile",
         },
@@ -100,7 +100,7 @@
             lasts: format!(
                 "{}, and a lease of {}",
                 figure(f.region_cut, "s"),
-                figure(lease_of(a.contradiction), "s")
+                figure(lease_duration(a.contradiction), "s")
             ),
             bound: "what plays there plays on; a director asks for the newest version",
         },
--- a/crates/kelpdoor-lab/src/scale/plan/limits.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/limits.rs
@@ -1,6 +1,6 @@
 //! The order in which things break: each limit, and how much of the target is left below it.
 
-use kelpdoor_agreement::{MAX_DOCUMENT, NAMES};
+use kelpdoor_agreement::{MAX_DIRECTOR_NAMES, MAX_DOCUMENT};
 use kelpdoor_director::{MAX_LINE, MAX_NODES, MAX_TITLES, Phase, RosterNode};
 use kelpdoor_keeper::{CONNS, DIRECTORS};
 use kelpdoor_script::{CONTRADICTION, MAX_ZONES, MOST_BY_NUMBER, MOST_DIRECTORS, Players};
@@ -64,7 +64,7 @@
         of("names of directors in an agreed document", MOST_DIRECTORS as f64, t.directors, "directors", code),
         of("connections to a voter", CONNS as f64, t.directors, "directors", code),
         of("connections to the keeper of seats", CONNS as f64, t.directors, "directors", code),
-        of("directors that a voter knows by name", NAMES as f64, t.directors, "directors", code),
+        of("directors that a voter knows by name", MAX_DIRECTOR_NAMES as f64, t.directors, "directors", code),
         of("directors by number", f64::from(MOST_BY_NUMBER), t.directors, "directors", code),
         of("directors at the keeper of seats", DIRECTORS as f64, t.directors, "directors", code),
         of(
--- a/crates/kelpdoor-lab/src/scale/simulate.rs
+++ b/crates/kelpdoor-lab/src/scale/simulate.rs
@@ -6,7 +6,7 @@
 
 use fastrand::Rng;
 use kelpdoor_agreement::{
-    ClientRequest, Durable, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
+    ClientRequest, DurableState, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
 };
 
 use super::follow::{self, Board, FIRST_LINE, Follower};
@@ -205,10 +205,10 @@
         let rates = (0..v + d).map(|_| 1.0 + APART * (rng.f64() - 0.5)).collect();
         let ids: Vec<VoterId> = (0..v as u8).map(VoterId).collect();
         let voter = |k: usize| {
-            let durable = Durable::founded("scale", &ids);
+            let durable = DurableState::founded("scale", &ids);
             Voter::new(VoterId(k as u8), durable, FIRST_LINE, plan.seed ^ k as u64, 0.0)
         };
-        let lease = kelpdoor_agreement::lease_of(plan.contradiction);
+        let lease = kelpdoor_agreement::lease_duration(plan.contradiction);
         let begin = SETTLE * lease.max(1.0);
         let span = (begin, begin + plan.span);
         // Spread evenly, so that each region has its part of them.
@@ -337,7 +337,7 @@
                 }
             }
         }
-        let next = (self.voters[k].next() / self.rates[k]).max(self.t + 0.001);
+        let next = (self.voters[k].next_timer_at() / self.rates[k]).max(self.t + 0.001);
         if next < self.tick_at[k] || self.tick_at[k] <= self.t {
             self.tick_at[k] = next;
             self.at(next, Event::Tick(k));
@@ -442,12 +442,12 @@
         match event {
             Event::Word(k, from, word) => {
                 let now = self.local(k);
-                self.voters[k].hear(now, from, word);
+                self.voters[k].handle_message(now, from, word);
                 self.flush(k);
             }
             Event::Asked(k, client, ask) => {
                 let now = self.local(k);
-                self.voters[k].ask(now, client, ask);
+                self.voters[k].handle_request(now, client, ask);
                 self.flush(k);
             }
             Event::Tick(k) => {
@@ -496,7 +496,7 @@
         for k in 0..self.plan.voters {
             self.at(0.0, Event::Tick(k));
         }
-        let lease = kelpdoor_agreement::lease_of(self.plan.contradiction);
+        let lease = kelpdoor_agreement::lease_duration(self.plan.contradiction);
         for f in 0..self.plan.directors {
             // They start within a lease, and so ask at different times.
             let first = lease * self.rng.f64() / 4.0;
@@ -599,11 +599,11 @@
     let ids: Vec<VoterId> = (0..voters as u8).map(VoterId).collect();
     let text = sim.text();
     let mut follower = follow::follower("director", 1);
-    let lease = kelpdoor_agreement::lease_of(contradiction);
+    let lease = kelpdoor_agreement::lease_duration(contradiction);
     let (mut spent, mut now) = (0.0, 0.0);
     for v in &mut sim.voters {
         let word = VoterMessage::Learn { number: 1, id: 1, text: text.clone() };
-        v.hear(0.0, ids[0], word);
+        v.handle_message(0.0, ids[0], word);
         v.take_output();
     }
     while now < 2.0 * lease + seconds {
@@ -612,7 +612,7 @@
         let mut took = began.elapsed();
         for (id, ask) in asks {
             let voter = &mut sim.voters[usize::from(id.0)];
-            voter.ask(now, 1, ask);
+            voter.handle_request(now, 1, ask);
             for out in voter.take_output().1 {
                 if let Output::Response(_, tell) = out {
                     let began = Instant::now();
