--- a/crates/kelpdoor-agreement/src/keys.rs
+++ b/crates/kelpdoor-agreement/src/keys.rs
@@ -17,7 +17,7 @@
 
 /// What becomes of a key while both versions may be acted on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Class {
+pub enum KeyClass {
     /// May differ: the new one at once.
     Free,
     /// The stricter of both until nobody can act on the old.
@@ -28,13 +28,13 @@
     Fixed,
 }
 
-impl Class {
+impl KeyClass {
     pub fn name(self) -> &'static str {
         match self {
-            Class::Free => "free",
-            Class::Strict => "stricter of both",
-            Class::Switched => "switched",
-            Class::Fixed => "fixed",
+            KeyClass::Free => "free",
+            KeyClass::Strict => "stricter of both",
+            KeyClass::Switched => "switched",
+            KeyClass::Fixed => "fixed",
         }
     }
 }
@@ -46,11 +46,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     pub key: String,
-    pub class: Class,
+    pub class: KeyClass,
     pub old: String,
     pub new: String,
     /// Whom it cuts short, in words.
-    pub cuts: Option<String>,
+    pub impact: Option<String>,
 }
 
 struct Walk {
@@ -59,38 +59,38 @@
 }
 
 impl Walk {
-    fn row<T: Debug + PartialEq>(&mut self, class: Class, key: &str, old: &T, new: &T) {
+    fn row<T: Debug + PartialEq>(&mut self, class: KeyClass, key: &str, old: &T, new: &T) {
         if old != new {
             let key = if self.within.is_empty() { key.to_owned() } else { format!("{}.{key}", self.within) };
             let (old, new) = (format!("{old:?}"), format!("{new:?}"));
-            self.changes.push(Change { key, class, old, new, cuts: None });
+            self.changes.push(Change { key, class, old, new, impact: None });
         }
     }
 
     fn free<T: Debug + PartialEq + Clone>(&mut self, key: &str, old: &T, new: &T) -> T {
-        self.row(Class::Free, key, old, new);
+        self.row(KeyClass::Free, key, old, new);
         new.clone()
     }
 
     fn switched<T: Debug + PartialEq + Clone>(&mut self, key: &str, old: &T, new: &T) -> T {
-        self.row(Class::Switched, key, old, new);
+        self.row(KeyClass::Switched, key, old, new);
         old.clone()
     }
 
     fn fixed<T: Debug + PartialEq + Clone>(&mut self, key: &str, old: &T, new: &T) -> T {
-        self.row(Class::Fixed, key, old, new);
+        self.row(KeyClass::Fixed, key, old, new);
         old.clone()
     }
 
     fn strict<T: Debug + PartialEq + Copy>(
         &mut self, key: &str, old: T, new: T, stricter: impl Fn(T, T) -> T, cuts: &str,
     ) -> T {
-        self.row(Class::Strict, key, &old, &new);
+        self.row(KeyClass::Strict, key, &old, &new);
         if old != new
             && stricter(old, new) == new
             && let Some(last) = self.changes.last_mut()
         {
-            last.cuts = Some(cuts.to_owned());
+            last.impact = Some(cuts.to_owned());
         }
         stricter(old, new)
     }
@@ -220,10 +220,10 @@
         let Directors { names, max_setups, come_back, contradiction } = new;
         let gone: Vec<&str> = old.names.iter().filter(|n| !names.contains(n)).map(String::as_str).collect();
         let cuts = (!gone.is_empty()).then(|| format!("directors that act no more: {}", gone.join(", ")));
-        // Numbers are merged apart, by `numbering`.
+        // Numbers are merged apart, by `merge_numberings`.
         let names = self.switched("names", &old.names, names);
         if let Some(last) = self.changes.last_mut().filter(|c| c.key == "directors.names") {
-            last.cuts = cuts;
+            last.impact = cuts;
         }
         Directors {
             names,
@@ -244,9 +244,9 @@
             self.within = format!("node {id}");
             let (Some(o), Some(AgreedNode { id, zone, kind, cell, drain })) = (old.get(&id), new.get(&id))
             else {
-                self.row(Class::Strict, "listed", &old.contains_key(&id), &new.contains_key(&id));
+                self.row(KeyClass::Strict, "listed", &old.contains_key(&id), &new.contains_key(&id));
                 if let Some(last) = self.changes.last_mut().filter(|_| !new.contains_key(&id)) {
-                    last.cuts = Some(NOTHING_NEW.into());
+                    last.impact = Some(NOTHING_NEW.into());
                 }
                 continue;
             };
@@ -272,9 +272,9 @@
             (Some(o), Some(n)) => Some(self.nodes(o, n)),
             (one, other) => {
                 self.within = String::new();
-                self.row(Class::Strict, "nodes listed", &one.is_some(), &other.is_some());
+                self.row(KeyClass::Strict, "nodes listed", &one.is_some(), &other.is_some());
                 if let Some(last) = self.changes.last_mut().filter(|_| one.is_none() && other.is_some()) {
-                    last.cuts = Some(format!("at nodes that it does not name: {NOTHING_NEW}"));
+                    last.impact = Some(format!("at nodes that it does not name: {NOTHING_NEW}"));
                 }
                 one.as_ref().or(other.as_ref()).cloned()
             }
@@ -287,12 +287,17 @@
                 };
                 for name in names {
                     self.within = format!("title {name}");
-                    self.row(Class::Switched, "first cell and cells", &lies(o.get(name)), &lies(n.get(name)));
+                    self.row(
+                        KeyClass::Switched,
+                        "first cell and cells",
+                        &lies(o.get(name)),
+                        &lies(n.get(name)),
+                    );
                 }
             }
             (one, other) => {
                 self.within = String::new();
-                self.row(Class::Switched, "titles listed", &one.is_some(), &other.is_some());
+                self.row(KeyClass::Switched, "titles listed", &one.is_some(), &other.is_some());
             }
         }
         Lists { nodes: both, titles: old.titles.clone() }
@@ -312,9 +317,9 @@
         for name in names {
             self.within = format!("school {name}");
             let (o, n) = (old.get(name).copied().unwrap_or(0), named.get(name).copied().unwrap_or(0));
-            self.row(Class::Free, "seats", &o, &n);
+            self.row(KeyClass::Free, "seats", &o, &n);
             if let Some(last) = self.changes.last_mut().filter(|_| n < o) {
-                last.cuts = Some("new viewers of it, until enough seats came back".into());
+                last.impact = Some("new viewers of it, until enough seats came back".into());
             }
         }
         new.to_vec()
@@ -327,7 +332,7 @@
         // Directors need no side of it: each version's own list decides the one after it, and gives leases on it.
         let at = self.free("at", &old.at, at);
         if let Some(last) = self.changes.last_mut().filter(|c| c.key == "voters.at" && !gone.is_empty()) {
-            last.cuts = Some(format!("voters that decide no more: {}", gone.join(", ")));
+            last.impact = Some(format!("voters that decide no more: {}", gone.join(", ")));
         }
         Voters { at }
     }
@@ -368,7 +373,7 @@
 }
 
 /// What is acted on while both versions may be, and every key that differs.
-pub fn both(old: &Shared, new: &Shared) -> (Shared, Vec<Change>) {
+pub fn merge_documents(old: &Shared, new: &Shared) -> (Shared, Vec<Change>) {
     let mut w = Walk { changes: Vec::new(), within: String::new() };
     let Shared { ladder, groups, fleet, further, directors, voters, lists, schools, tokens, keeper } = new;
     let names = |groups: &[Group]| groups.iter().map(|g| g.name.clone()).collect::<Vec<_>>();
@@ -393,9 +398,9 @@
 ///
 /// # Errors
 /// The first reason against it, naming the key. `sure` passes over the reasons that ask for a word.
-pub fn may_follow(old: &Shared, new: &Shared, sure: bool) -> Result<Vec<Change>, String> {
-    let (_, changes) = both(old, new);
-    if let Some(c) = changes.iter().find(|c| c.class == Class::Fixed) {
+pub fn check_transition(old: &Shared, new: &Shared, sure: bool) -> Result<Vec<Change>, String> {
+    let (_, changes) = merge_documents(old, new);
+    if let Some(c) = changes.iter().find(|c| c.class == KeyClass::Fixed) {
         return Err(format!("{}: it cannot change while the fleet runs, from {} to {}", c.key, c.old, c.new));
     }
     // A keeper knows directors by their numbers.
@@ -431,7 +436,7 @@
 
 /// The settings that a director goes by, of one version or of several at their stricter side.
 #[derive(Clone, Debug)]
-pub struct Acted {
+pub struct MergedRules {
     /// What all share.
     shared: Shared,
     /// With the director's own, of the newest version; what all share stands above.
@@ -442,8 +447,8 @@
     turns: (u32, u32),
 }
 
-impl Acted {
-    pub fn book(&self) -> Deployment {
+impl MergedRules {
+    pub fn deployment(&self) -> Deployment {
         let mut book = Deployment::clone(&self.book);
         let Shared {
             ladder,
@@ -465,15 +470,15 @@
     }
 }
 
-impl Rules for Acted {
+impl Rules for MergedRules {
     type LocalSettings = Own;
 
     fn read(own: &Own, text: &str) -> Result<Self, String> {
         let (book, shared, listed) = own.under(text).map_err(|faults| first(&faults))?;
         let names = &shared.directors.names;
         let at = names.iter().position(|n| *n == own.agreement.name).map(|at| at as u32);
-        let turns = numbering(&[(at, names.len() as u32)]);
-        Ok(Acted { shared, book: Arc::new(book), listed, turns })
+        let turns = merge_numberings(&[(at, names.len() as u32)]);
+        Ok(MergedRules { shared, book: Arc::new(book), listed, turns })
     }
 
     fn lease(&self) -> f64 {
@@ -490,33 +495,33 @@
 
     fn merge(older: &Self, newer: &Self) -> Self {
         let place = |of: &Self| (Some(of.turns.0), of.turns.1);
-        Acted {
-            shared: both(&older.shared, &newer.shared).0,
+        MergedRules {
+            shared: merge_documents(&older.shared, &newer.shared).0,
             book: newer.book.clone(),
             listed: newer.listed,
-            turns: numbering(&[place(older), place(newer)]),
+            turns: merge_numberings(&[place(older), place(newer)]),
         }
     }
 }
 
 /// The schools that a keeper of seats goes by: the newest version's, for nobody else counts them.
 #[derive(Clone, Debug)]
-pub struct Sold {
+pub struct SchoolSeats {
     shared: Arc<Shared>,
 }
 
-impl Sold {
+impl SchoolSeats {
     pub fn schools(&self) -> &[School] {
         &self.shared.schools
     }
 }
 
-impl Rules for Sold {
+impl Rules for SchoolSeats {
     type LocalSettings = ();
 
     fn read((): &(), text: &str) -> Result<Self, String> {
         let shared = Shared::run("the document", text).map_err(|faults| first(&faults))?;
-        Ok(Sold { shared: Arc::new(shared) })
+        Ok(SchoolSeats { shared: Arc::new(shared) })
     }
 
     fn lease(&self) -> f64 {
@@ -542,7 +547,7 @@
 
 /// Under which number among how many a director takes its turns while several numberings may be in use: turns that are its
 /// own under all of them. `places`: its number, if listed, and how many there are, under each version.
-pub fn numbering(places: &[(Option<u32>, u32)]) -> (u32, u32) {
+pub fn merge_numberings(places: &[(Option<u32>, u32)]) -> (u32, u32) {
     /// Of so many turns none is ours: more than any list holds.
     const NEVER: (u32, u32) = (999_999_999, 1_000_000_000);
     let (mut me, mut of) = (0u64, 1u64);
--- a/crates/kelpdoor-agreement/tests/table.rs
+++ b/crates/kelpdoor-agreement/tests/table.rs
@@ -3,7 +3,7 @@
 mod texts;
 
 use expect_test::expect;
-use kelpdoor_agreement::keys::{Class, both, may_follow, numbering};
+use kelpdoor_agreement::keys::{KeyClass, check_transition, merge_documents, merge_numberings};
 use kelpdoor_agreement::{
     Ballot, CatchUp, Chosen, ClientRequest, DurableState, Follower, Output, Value, Voter, VoterId,
     VoterMessage, VoterResponse,
@@ -555,7 +555,7 @@
         ("max_setups = 3", "max_setups = 2"),
         ("[\"a\", \"b\", \"c\"]", "[\"a\", \"c\", \"d\"]"),
     ]);
-    let (m, changes) = both(&old, &new);
+    let (m, changes) = merge_documents(&old, &new);
     let shown: String = changes
         .iter()
         .map(|c| {
@@ -565,7 +565,7 @@
                 c.class.name(),
                 c.old,
                 c.new,
-                c.cuts.as_ref().map(|c| format!(" ({c})")).unwrap_or_default()
+                c.impact.as_ref().map(|c| format!(" ({c})")).unwrap_or_default()
             )
         })
         .collect();
@@ -587,16 +587,16 @@
     assert_eq!((m.further.unwrap().free, m.further.unwrap().per_taken), (2.0, 0.25));
     assert_eq!((m.fleet.tip_multiple, m.directors.max_setups), (4.0, 2));
     assert_eq!(paid.repeat, old.groups[1].repeat);
-    assert_eq!(both(&old, &old), (old.clone(), vec![]));
+    assert_eq!(merge_documents(&old, &old), (old.clone(), vec![]));
     // The stricter side does not hang on which one was first.
-    let (back, _) = both(&new, &old);
+    let (back, _) = merge_documents(&new, &old);
     assert_eq!((back.groups[0].floor, back.groups[1].seats, back.fleet.tip_multiple), (1, 9, 4.0));
 }
 
 #[test]
 fn what_stands_was_built_on_does_not_change_while_it_stands() {
     let old = document(&[]);
-    let refused = |changes: &[(&str, &str)]| may_follow(&old, &document(changes), false).unwrap_err();
+    let refused = |changes: &[(&str, &str)]| check_transition(&old, &document(changes), false).unwrap_err();
     expect!["ladder.rates: it cannot change while the fleet runs, from [120.0, 221.0] to [120.0, 300.0]"]
         .assert_eq(&refused(&[("[120, 221]", "[120, 300]")]));
     expect![[
@@ -605,9 +605,9 @@
     .assert_eq(&refused(&[("\"paid\"", "\"other\"")]));
     expect!["directors.names: 2 of 3 directors would go at once; say --sure if so"]
         .assert_eq(&refused(&[("[\"a\", \"b\", \"c\"]", "[\"a\"]")]));
-    assert!(may_follow(&old, &document(&[("[\"a\", \"b\", \"c\"]", "[\"a\"]")]), true).is_ok());
-    let free = may_follow(&old, &document(&[("told_every = 2", "told_every = 3")]), false).unwrap();
-    assert_eq!((free.len(), free[0].class), (1, Class::Free));
+    assert!(check_transition(&old, &document(&[("[\"a\", \"b\", \"c\"]", "[\"a\"]")]), true).is_ok());
+    let free = check_transition(&old, &document(&[("told_every = 2", "told_every = 3")]), false).unwrap();
+    assert_eq!((free.len(), free[0].class), (1, KeyClass::Free));
 }
 
 #[test]
@@ -636,7 +636,10 @@
     for _ in 0..60 {
         let mut any = || with(texts[rng.usize(..3)], rng.u32(..128));
         let (a, b, c) = (any(), any(), any());
-        assert_eq!(both(&both(&a, &b).0, &c).0, both(&a, &both(&b, &c).0).0);
+        assert_eq!(
+            merge_documents(&merge_documents(&a, &b).0, &c).0,
+            merge_documents(&a, &merge_documents(&b, &c).0).0
+        );
     }
 }
 
@@ -670,7 +673,7 @@
         };
         changes.iter().map(of).collect()
     };
-    let (m, changes) = both(&old, &new);
+    let (m, changes) = merge_documents(&old, &new);
     expect![[r#"
         node 1.listed stricter of both: true -> false
         node 2.drain stricter of both: false -> true
@@ -681,21 +684,21 @@
     let nodes = m.lists.nodes.unwrap();
     assert_eq!(nodes.values().map(|n| (n.id, n.drain)).collect::<Vec<_>>(), [(2, true), (3, false)]);
     assert_eq!(m.lists.titles, old.lists.titles);
-    let back = both(&new, &old).0.lists.nodes.unwrap();
+    let back = merge_documents(&new, &old).0.lists.nodes.unwrap();
     assert_eq!(back, nodes, "the stricter side does not hang on which one was first");
     // A list where there was none is the stricter side, in either order.
     let none = document(&[]);
-    assert_eq!(both(&none, &old).0.lists.nodes, old.lists.nodes);
-    assert_eq!(both(&old, &none).0.lists.nodes, old.lists.nodes);
-    assert_eq!(both(&none, &old).0.lists.titles, None);
-    let refused = |changes: &[(&str, &str)]| may_follow(&old, &with(changes), false).unwrap_err();
+    assert_eq!(merge_documents(&none, &old).0.lists.nodes, old.lists.nodes);
+    assert_eq!(merge_documents(&old, &none).0.lists.nodes, old.lists.nodes);
+    assert_eq!(merge_documents(&none, &old).0.lists.titles, None);
+    let refused = |changes: &[(&str, &str)]| check_transition(&old, &with(changes), false).unwrap_err();
     expect!["node 1.cell: it cannot change while the fleet runs, from 0 to 3"].assert_eq(&refused(&[(
         "node(1, zone = \"east\", kind = \"box\", cell = 0",
         "node(1, zone = \"east\", kind = \"box\", cell = 3",
     )]));
     let gone = [("cell = 0)", "cell = 0, drain = True)"), ("cell = 1)", "cell = 1, drain = True)")];
     expect!["node: 1 of 3 nodes would be left to use; say --sure if so"].assert_eq(&refused(&gone));
-    assert!(may_follow(&old, &with(&gone), true).is_ok());
+    assert!(check_transition(&old, &with(&gone), true).is_ok());
     let bad = Shared::run(
         "document",
         &format!("{DOCUMENT}{LISTS}node(3, zone = \"south\", kind = \"box\", cell = 9)\n"),
@@ -716,15 +719,15 @@
     };
     let old = with("school(\"olaf\", seats = 3)\nschool(\"olaf\", seats = 2, seat_class = \"teacher\")\n");
     let new = with("school(\"olaf\", seats = 5)\n");
-    let (m, changes) = both(&old, &new);
+    let (m, changes) = merge_documents(&old, &new);
     let shown: String =
-        changes.iter().map(|c| format!("{} {} -> {} {:?}\n", c.key, c.old, c.new, c.cuts)).collect();
+        changes.iter().map(|c| format!("{} {} -> {} {:?}\n", c.key, c.old, c.new, c.impact)).collect();
     expect![[r#"
         school olaf.seats 3 -> 5 None
         school olaf:teacher.seats 2 -> 0 Some("new viewers of it, until enough seats came back")
     "#]]
     .assert_eq(&shown);
-    assert_eq!((m.schools, may_follow(&old, &new, false).is_ok()), (new.schools, true));
+    assert_eq!((m.schools, check_transition(&old, &new, false).is_ok()), (new.schools, true));
 }
 
 #[test]
@@ -733,7 +736,7 @@
         for b in 1..9u32 {
             for me_a in 0..a {
                 for me_b in 0..b {
-                    let (me, of) = numbering(&[(Some(me_a), a), (Some(me_b), b)]);
+                    let (me, of) = merge_numberings(&[(Some(me_a), a), (Some(me_b), b)]);
                     let ours = (0..a * b).filter(|t| t % of == me);
                     let both = (0..a * b).filter(|t| t % a == me_a && t % b == me_b);
                     assert!(ours.eq(both), "{me_a} of {a}, {me_b} of {b}: {me} of {of}");
@@ -741,17 +744,21 @@
             }
         }
     }
-    assert_eq!(numbering(&[(Some(2), 5)]), (2, 5));
+    assert_eq!(merge_numberings(&[(Some(2), 5)]), (2, 5));
     // Of three it is the same whichever two are taken first.
     let place = |(me, of): (u32, u32)| (Some(me), of);
     for (a, b, c) in [(4, 6, 9), (5, 5, 5), (2, 3, 7), (5800, 5799, 5801), (12, 18, 1000)] {
         for me in 0..2 {
             let (x, y, z) = ((Some(me), a), (Some(me), b), (Some(me), c));
-            let (left, right) = (place(numbering(&[x, y])), place(numbering(&[y, z])));
-            let all = numbering(&[x, y, z]);
-            assert_eq!((numbering(&[left, z]), numbering(&[x, right])), (all, all), "{me} of {a}, {b}, {c}");
+            let (left, right) = (place(merge_numberings(&[x, y])), place(merge_numberings(&[y, z])));
+            let all = merge_numberings(&[x, y, z]);
+            assert_eq!(
+                (merge_numberings(&[left, z]), merge_numberings(&[x, right])),
+                (all, all),
+                "{me} of {a}, {b}, {c}"
+            );
         }
     }
     // Who is on one list alone takes no turn while the other may be in use.
-    assert_eq!(numbering(&[(None, 5), (Some(5), 6)]).1, 1_000_000_000);
+    assert_eq!(merge_numberings(&[(None, 5), (Some(5), 6)]).1, 1_000_000_000);
 }
--- a/crates/kelpdoor-director/src/following.rs
+++ b/crates/kelpdoor-director/src/following.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kelpdoor_agreement::keys::Acted;
+use kelpdoor_agreement::keys::MergedRules;
 use kelpdoor_agreement::{Chosen, Follower, Rules, VoterId};
 use kelpdoor_clock::Steady;
 use kelpdoor_keeper::{Heard, Lines, addresses};
@@ -117,7 +117,7 @@
     /// # Errors
     /// As there.
     pub async fn start(own: Own) -> anyhow::Result<(Following, Deployment)> {
-        let book = |a: &Acted| (a.book(), a.listed);
+        let book = |a: &MergedRules| (a.deployment(), a.listed);
         let following = Following::reading(own.agreement.clone(), own, book).await?;
         let book = Deployment::clone(&following.ruling().book);
         Ok((following, book))
--- a/crates/kelpdoor-keeper/src/voter.rs
+++ b/crates/kelpdoor-keeper/src/voter.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use kelpdoor_agreement::keys::may_follow;
+use kelpdoor_agreement::keys::check_transition;
 use kelpdoor_agreement::{
     ClientRequest, DocumentReader, DurableState, MAX_DOCUMENT, MAX_LINE, Output, Voter, VoterId,
     VoterMessage, VoterResponse, lease_duration,
@@ -410,7 +410,7 @@
         let new = read(text).map_err(faults)?;
         let Some(newest) = self.voter.newest().filter(|c| c.number == after) else { return Ok(()) };
         let old = read(&newest.value.text).map_err(faults)?;
-        may_follow(&old, &new, sure)?;
+        check_transition(&old, &new, sure)?;
         // With too many that are not there, nothing could be agreed any more, not even to take them off again.
         let joins = new.voters.at.keys().map(|v| VoterId(*v)).filter(|v| !self.voter.deciding().contains(v));
         let absent: Vec<String> =
--- a/crates/kelpdoord/src/agreed.rs
+++ b/crates/kelpdoord/src/agreed.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result, bail};
-use kelpdoor_agreement::keys::{self, Change, may_follow};
+use kelpdoor_agreement::keys::{self, Change, check_transition};
 use kelpdoor_agreement::{Chosen, ClientRequest, DirectorStatus, MAX_LINE, Value, VoterId, VoterResponse};
 use kelpdoor_director::{Following, kept, pools};
 use kelpdoor_keeper::{Sold, addresses, read};
@@ -185,7 +185,7 @@
                 return Ok(());
             };
             let old = Shared::run("the version before", &newest.value.text).map_err(told)?;
-            show_changes(&may_follow(&old, &new, sure).map_err(|e| anyhow::anyhow!(e))?);
+            show_changes(&check_transition(&old, &new, sure).map_err(|e| anyhow::anyhow!(e))?);
             return Ok(());
         }
         // The same under the same name at each voter: one that was heard only half is not proposed twice.
@@ -283,7 +283,7 @@
 
 /// Tells a keeper of seats the agreed schools, under a lease like a director's.
 pub async fn follow_schools(own: Agreement, sold: watch::Sender<Sold>) -> Result<()> {
-    let book = |of: &keys::Sold| (pools(of.schools()), true);
+    let book = |of: &keys::SchoolSeats| (pools(of.schools()), true);
     let mut following = Following::reading(own, (), book).await?;
     loop {
         let r = following.ruling();
@@ -304,7 +304,7 @@
     }
     for c in changes {
         println!("{}: {} -> {}, {}", c.key, c.old, c.new, c.class.name());
-        if let Some(cuts) = &c.cuts {
+        if let Some(cuts) = &c.impact {
             println!("    cut short: {cuts}");
         }
     }
