--- a/crates/kelpdoor-agreement/tests/chained.rs
+++ b/crates/kelpdoor-agreement/tests/chained.rs
@@ -8,7 +8,9 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use kelpdoor_agreement::{Ask, Chosen, Durable, Follower, Out, Tell, Value, Voter, VoterId, Word};
+use kelpdoor_agreement::{
+    Chosen, ClientRequest, DurableState, Follower, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
+};
 use texts::{READING, Texts};
 
 const DECIDES: VoterId = VoterId(0);
@@ -34,7 +36,7 @@
     voters: [Voter; 2],
     directors: [Follower<Texts>; 2],
     /// Answers on their way, by director and voter.
-    late: BTreeMap<(usize, VoterId), Tell>,
+    late: BTreeMap<(usize, VoterId), VoterResponse>,
     /// By version, when somebody first acted who heeded nothing older.
     first: BTreeMap<u64, u32>,
     acted: u64,
@@ -47,7 +49,7 @@
 
     fn key(&self) -> u64 {
         let mut h = DefaultHasher::new();
-        self.voters.iter().for_each(|v| v.shape().hash(&mut h));
+        self.voters.iter().for_each(|v| v.decision_state().hash(&mut h));
         // Numbers of questions tell nothing apart: each line has one out, and what is late answers that one.
         let all = format!("{:?}{:?}{:?}", self.directors, self.late, self.first);
         for part in all.split("seq: ").flat_map(|p| p.split("out: Some((")) {
@@ -61,7 +63,7 @@
     fn look(&mut self) {
         let now = self.now();
         for d in &mut self.directors {
-            let Some(a) = d.acting(now).filter(|a| a.from <= now && now < a.until) else { continue };
+            let Some(a) = d.active_versions(now).filter(|a| a.from <= now && now < a.until) else { continue };
             self.acted += 1;
             let (newest, oldest) = (a.version.number, a.oldest());
             self.first.entry(oldest).or_insert(self.ticks);
@@ -76,20 +78,20 @@
     }
 
     /// A director asks, and the voter answers, whatever becomes of the answer.
-    fn ask(&mut self, d: usize, voter: VoterId) -> Option<Tell> {
+    fn ask(&mut self, d: usize, voter: VoterId) -> Option<VoterResponse> {
         let now = self.now();
-        let ask = self.directors[d].ask(now, voter)?;
+        let ask = self.directors[d].next_request(now, voter)?;
         let v = &mut self.voters[usize::from(voter.0)];
-        v.ask(now, d as u64, ask);
-        v.take_out().1.into_iter().find_map(|o| match o {
-            Out::Tell(_, tell) => Some(tell),
+        v.handle_request(now, d as u64, ask);
+        v.take_output().1.into_iter().find_map(|o| match o {
+            Output::Response(_, tell) => Some(tell),
             _ => None,
         })
     }
 
-    fn hear(&mut self, d: usize, voter: VoterId, tell: Tell) {
+    fn hear(&mut self, d: usize, voter: VoterId, tell: VoterResponse) {
         // A word that is not taken says so; nothing else comes of it.
-        let _ = self.directors[d].heard(self.now(), voter, tell);
+        let _ = self.directors[d].handle_response(self.now(), voter, tell);
         self.look();
     }
 
@@ -104,15 +106,19 @@
             event(&mut |s| {
                 s.chosen += 1;
                 let value = Value { id: s.chosen, text: text(s.chosen) };
-                s.voters[0].ask(s.now(), 9, Ask::Propose { after: s.chosen - 1, value, sure: false });
-                s.voters[0].take_out();
+                s.voters[0].handle_request(
+                    s.now(),
+                    9,
+                    ClientRequest::Propose { after: s.chosen - 1, value, sure: false },
+                );
+                s.voters[0].take_output();
             });
         }
         if self.voters[1].durable().newest() < self.chosen {
             event(&mut |s| {
                 let (number, id, text) = (s.chosen, s.chosen, text(s.chosen));
-                s.voters[1].hear(s.now(), DECIDES, Word::Learn { number, id, text });
-                s.voters[1].take_out();
+                s.voters[1].handle_message(s.now(), DECIDES, VoterMessage::Learn { number, id, text });
+                s.voters[1].take_output();
             });
         }
         for d in 0..2 {
@@ -151,7 +157,7 @@
 
 /// States seen, looks at which a director acted, and how often one acted on two and on three versions.
 fn explore(versions: u64, ticks: u32, most: usize) -> (usize, u64, usize) {
-    let knows = || Durable { chosen: vec![version(1)], ..Durable::founded("f", &[DECIDES]) };
+    let knows = || DurableState { chosen: vec![version(1)], ..DurableState::founded("f", &[DECIDES]) };
     let voters = [0, 1].map(|k| Voter::new(VoterId(k), knows(), READING, 7, 0.0));
     let directors = [0, 1].map(|d| Follower::<Texts>::new(&format!("d{d}"), d + 1, None, ()));
     let (late, first) = (BTreeMap::new(), BTreeMap::new());
@@ -169,7 +175,8 @@
     while let Some(state) = todo.pop() {
         assert!(seen.len() < most, "more than {most} states");
         acted += state.acted - start.acted;
-        let of = |d: &Follower<Texts>| d.acting(state.now()).map_or(0, |a| a.version.number - a.oldest());
+        let of =
+            |d: &Follower<Texts>| d.active_versions(state.now()).map_or(0, |a| a.version.number - a.oldest());
         together += usize::from(state.directors.iter().any(|d| of(d) >= 2));
         for mut s in state.next(versions, 3 + ticks) {
             if seen.insert(s.key()) {
--- a/crates/kelpdoor-agreement/tests/chains.rs
+++ b/crates/kelpdoor-agreement/tests/chains.rs
@@ -7,8 +7,9 @@
 use expect_test::expect;
 use fastrand::Rng;
 use kelpdoor_agreement::{
-    Ask, Chosen, Delta, Durable, Edit, Follower, LOG, MAX_DOCUMENT, Out, RATE_ERROR, Tell, Value, Voter,
-    VoterId, Wants, Word, lease_of,
+    CatchUp, Chosen, ClientRequest, Delta, DurableState, Edit, Follower, MAX_CLOCK_RATE_ERROR, MAX_DOCUMENT,
+    MAX_LOG_BYTES, MAX_LOG_VERSIONS, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
+    lease_duration,
 };
 use texts::{READING, Texts};
 
@@ -25,15 +26,15 @@
     (from..to).map(|n| Delta::between(&version(n, &text(n)), &version(n + 1, &text(n + 1)))).collect()
 }
 
-fn tell(seq: u64, newest: u64, document: Option<Chosen>, chain: Vec<Delta>) -> Tell {
-    Tell::Granted { seq, newest, pending: false, document, chain }
+fn tell(seq: u64, newest: u64, document: Option<Chosen>, chain: Vec<Delta>) -> VoterResponse {
+    VoterResponse::Granted { seq, newest, pending: false, document, chain }
 }
 
 /// All three voters are asked and answer so.
 fn say(f: &mut Follower<Texts>, now: f64, newest: u64, chain: &[Delta]) -> Result<(), String> {
     for v in 0..3 {
-        if let Some(Ask::Renew { seq, .. }) = f.ask(now, VoterId(v)) {
-            f.heard(now, VoterId(v), tell(seq, newest, None, chain.to_vec()))?;
+        if let Some(ClientRequest::Renew { seq, .. }) = f.next_request(now, VoterId(v)) {
+            f.handle_response(now, VoterId(v), tell(seq, newest, None, chain.to_vec()))?;
         }
     }
     Ok(())
@@ -45,8 +46,8 @@
     for k in 0..10 {
         say(&mut f, f64::from(k) * 0.25, 1, &[]).unwrap();
     }
-    let a = f.acting(2.25).unwrap();
-    assert!(a.from <= 2.25 && a.until > 3.0 && a.beside.is_empty(), "{a:?}");
+    let a = f.active_versions(2.25).unwrap();
+    assert!(a.from <= 2.25 && a.until > 3.0 && a.older.is_empty(), "{a:?}");
     f
 }
 
@@ -54,7 +55,7 @@
     let rules = f.rules(now).unwrap();
     let numbers: Vec<&str> = rules.all.iter().map(|t| t.lines().nth(2).unwrap()).collect();
     let oldest = rules.oldest.lines().nth(2).unwrap().to_owned();
-    (f.acting(now).unwrap().label(), numbers.join(", "), oldest)
+    (f.active_versions(now).unwrap().label(), numbers.join(", "), oldest)
 }
 
 #[test]
@@ -66,7 +67,7 @@
         let (label, all, oldest) = held(&mut f, now);
         told += &format!("{now}: {label}: {all}; without a stricter side: {oldest}\n");
     }
-    assert!(f.acting(2.5).unwrap().from <= 2.5, "it went on");
+    assert!(f.active_versions(2.5).unwrap().from <= 2.5, "it went on");
     expect![[r#"
         2.5: 4/be2b2dfa1f58398f beside 3/fee6c9bdb4b64ff9 to 1/7c8fe81b31d5c874: number 1, number 2, number 3, number 4; without a stricter side: number 1
         3.5: 4/be2b2dfa1f58398f beside 3/fee6c9bdb4b64ff9 to 1/7c8fe81b31d5c874: number 1, number 2, number 3, number 4; without a stricter side: number 1
@@ -78,14 +79,14 @@
 #[test]
 fn a_chain_without_a_lease_waits_one() {
     let mut f = following();
-    let until = f.acting(2.25).unwrap().until;
+    let until = f.active_versions(2.25).unwrap().until;
     assert_eq!(until, 2.25 + 0.99);
     say(&mut f, until, 3, &chain(1, 3)).unwrap();
-    let a = f.acting(until).unwrap();
-    assert_eq!((a.version.number, a.beside.len(), a.from), (3, 0, until + 1.02));
+    let a = f.active_versions(until).unwrap();
+    assert_eq!((a.version.number, a.older.len(), a.from), (3, 0, until + 1.02));
     // What comes while it waits stands beside: the wait does not begin again.
     say(&mut f, until + 0.5, 5, &chain(3, 5)).unwrap();
-    let b = f.acting(until + 1.1).unwrap();
+    let b = f.active_versions(until + 1.1).unwrap();
     assert_eq!((b.version.number, b.oldest(), b.from), (5, 3, until + 1.02));
 }
 
@@ -103,7 +104,7 @@
     let mut large = good.clone();
     large[1].edits[0].put = far;
     let mut long = Vec::new();
-    (0..=LOG.0).for_each(|_| long.push(good[0].clone()));
+    (0..=MAX_LOG_VERSIONS).for_each(|_| long.push(good[0].clone()));
     let mut parts = good.clone();
     parts[0].edits = vec![Edit { at: 0, cut: 0, put: String::new() }; 1025];
     let cases = [
@@ -126,16 +127,16 @@
     ];
     for (name, chain) in cases {
         let mut f = base.clone();
-        let before = f.acting(2.5);
+        let before = f.active_versions(2.5);
         let newest = 4;
         told += &format!("{name}: {}\n", say(&mut f, 2.5, newest, &chain).unwrap_err());
-        assert_eq!(f.acting(2.5), before, "{name}: nothing of it counts");
+        assert_eq!(f.active_versions(2.5), before, "{name}: nothing of it counts");
         // The voter that said it is asked for the document, the others for a chain.
-        let wants = |f: &mut Follower<Texts>, v| match f.ask(2.75, VoterId(v)) {
-            Some(Ask::Renew { wants, .. }) => wants,
+        let wants = |f: &mut Follower<Texts>, v| match f.next_request(2.75, VoterId(v)) {
+            Some(ClientRequest::Renew { wants, .. }) => wants,
             other => panic!("{other:?}"),
         };
-        assert_eq!((wants(&mut f, 0), wants(&mut f, 1)), (Wants::Document, Wants::Chain), "{name}");
+        assert_eq!((wants(&mut f, 0), wants(&mut f, 1)), (CatchUp::Document, CatchUp::Chain), "{name}");
     }
     expect![[r#"
         a hole: voter 0: a delta makes version 4, version 2 is known
@@ -166,14 +167,14 @@
             let t = 2.5 + 0.0502 * f64::from(step);
             let next = 1 + ((t - 2.25) * rate) as u64;
             let voter = VoterId((step % 5) as u8);
-            if let Some(Ask::Renew { seq, .. }) = f.ask(t, voter) {
-                f.heard(t, voter, tell(seq, next, None, chain(number, next))).unwrap();
+            if let Some(ClientRequest::Renew { seq, .. }) = f.next_request(t, voter) {
+                f.handle_response(t, voter, tell(seq, next, None, chain(number, next))).unwrap();
             }
-            number = f.known().unwrap().number;
+            number = f.known_version().unwrap().number;
             learned.resize(number as usize + 1, t);
-            let a = f.acting(t).unwrap();
+            let a = f.active_versions(t).unwrap();
             assert!(a.from <= t && t < a.until, "it acts all the while: {a:?} at {t}");
-            most = most.max(a.beside.len());
+            most = most.max(a.older.len());
             let rules = f.rules(t).unwrap();
             // None is left out between the oldest and the newest, and none more is held.
             let all: BTreeSet<String> = (a.oldest()..=number).map(text).collect();
@@ -184,26 +185,26 @@
             }
             assert!(a.label().len() < 512);
         }
-        let hold = lease_of(2.0) * (1.0 + 2.0 * RATE_ERROR);
+        let hold = lease_duration(2.0) * (1.0 + 2.0 * MAX_CLOCK_RATE_ERROR);
         assert!(most <= 11 && number > 10, "{most} folds at {rate} a second");
         assert!(oldest_since <= hold * 1.125 + 1e-9, "{oldest_since} at {rate} a second");
     }
 }
 
 /// A voter that learns these one after the other; what it has on disk.
-fn learned(numbers: impl Iterator<Item = u64>, text: impl Fn(u64) -> String) -> (Voter, Durable) {
+fn learned(numbers: impl Iterator<Item = u64>, text: impl Fn(u64) -> String) -> (Voter, DurableState) {
     let founders = [0, 1, 2].map(VoterId);
-    let mut v = Voter::new(VoterId(0), Durable::founded("f", &founders), READING, 1, 0.0);
+    let mut v = Voter::new(VoterId(0), DurableState::founded("f", &founders), READING, 1, 0.0);
     let mut disk = v.durable().clone();
     for number in numbers {
-        v.hear(0.0, VoterId(1), Word::Learn { number, id: number, text: text(number) });
-        disk = v.take_out().0.unwrap_or(disk);
+        v.handle_message(0.0, VoterId(1), VoterMessage::Learn { number, id: number, text: text(number) });
+        disk = v.take_output().0.unwrap_or(disk);
     }
     (v, disk)
 }
 
-fn answer(v: &mut Voter, have: u64, wants: Wants) -> (Option<u64>, Vec<u64>) {
-    let renew = Ask::Renew {
+fn answer(v: &mut Voter, have: u64, wants: CatchUp) -> (Option<u64>, Vec<u64>) {
+    let renew = ClientRequest::Renew {
         name: "d".into(),
         boot: 1,
         seq: 1,
@@ -213,9 +214,9 @@
         acts: String::new(),
         wants,
     };
-    v.ask(5.0, 1, renew);
-    match v.take_out().1.pop() {
-        Some(Out::Tell(_, Tell::Granted { document, chain, .. })) => {
+    v.handle_request(5.0, 1, renew);
+    match v.take_output().1.pop() {
+        Some(Output::Response(_, VoterResponse::Granted { document, chain, .. })) => {
             (document.map(|c| c.number), chain.iter().map(|d| d.number).collect())
         }
         other => panic!("{other:?}"),
@@ -225,50 +226,53 @@
 #[test]
 fn a_voter_tells_what_its_log_has_and_the_document_where_that_is_wanted() {
     let (mut v, disk) = learned(1..=5, text);
-    assert_eq!(answer(&mut v, 2, Wants::Chain), (None, vec![3, 4, 5]));
-    assert_eq!(answer(&mut v, 2, Wants::Document), (Some(5), vec![]));
-    assert_eq!(answer(&mut v, 0, Wants::Either), (Some(5), vec![]));
-    assert_eq!(answer(&mut v, 0, Wants::Chain), (None, vec![]));
-    assert_eq!(answer(&mut v, 5, Wants::Either), (None, vec![]));
-    assert_eq!(answer(&mut v, 9, Wants::Either), (None, vec![]));
+    assert_eq!(answer(&mut v, 2, CatchUp::Chain), (None, vec![3, 4, 5]));
+    assert_eq!(answer(&mut v, 2, CatchUp::Document), (Some(5), vec![]));
+    assert_eq!(answer(&mut v, 0, CatchUp::Either), (Some(5), vec![]));
+    assert_eq!(answer(&mut v, 0, CatchUp::Chain), (None, vec![]));
+    assert_eq!(answer(&mut v, 5, CatchUp::Either), (None, vec![]));
+    assert_eq!(answer(&mut v, 9, CatchUp::Either), (None, vec![]));
     // What it told is on disk: after a restart it tells the same.
     let mut again = Voter::new(VoterId(0), disk, READING, 1, 0.0);
-    assert_eq!(answer(&mut again, 2, Wants::Chain), (None, vec![3, 4, 5]));
+    assert_eq!(answer(&mut again, 2, CatchUp::Chain), (None, vec![3, 4, 5]));
     // A version was missed: nothing before it joins.
-    again.hear(0.0, VoterId(1), Word::Learn { number: 7, id: 7, text: text(7) });
-    again.hear(0.0, VoterId(1), Word::Learn { number: 8, id: 8, text: text(8) });
-    assert_eq!(answer(&mut again, 5, Wants::Chain), (None, vec![]));
-    assert_eq!(answer(&mut again, 5, Wants::Either), (Some(8), vec![]));
-    assert_eq!(answer(&mut again, 7, Wants::Either), (None, vec![8]));
+    again.handle_message(0.0, VoterId(1), VoterMessage::Learn { number: 7, id: 7, text: text(7) });
+    again.handle_message(0.0, VoterId(1), VoterMessage::Learn { number: 8, id: 8, text: text(8) });
+    assert_eq!(answer(&mut again, 5, CatchUp::Chain), (None, vec![]));
+    assert_eq!(answer(&mut again, 5, CatchUp::Either), (Some(8), vec![]));
+    assert_eq!(answer(&mut again, 7, CatchUp::Either), (None, vec![8]));
 }
 
 #[test]
 fn a_voter_counts_changes_a_second_for_operators() {
     let (mut v, _) = learned(1..=30, text);
     let mut changes = |now: f64| {
-        v.ask(now, 1, Ask::Standing);
-        match v.take_out().1.pop() {
-            Some(Out::Tell(_, Tell::Standing { changes, .. })) => changes,
+        v.handle_request(now, 1, ClientRequest::Status);
+        match v.take_output().1.pop() {
+            Some(Output::Response(_, VoterResponse::Status { changes, .. })) => changes,
             other => panic!("{other:?}"),
         }
     };
     assert_eq!([changes(0.0), changes(10.0), changes(60.0), changes(60.5)], [30.0, 3.0, 0.5, 0.0]);
     let (mut fast, _) = learned(1..=1000, text);
-    fast.ask(20.0, 1, Ask::Standing);
-    let told = fast.take_out().1.pop();
+    fast.handle_request(20.0, 1, ClientRequest::Status);
+    let told = fast.take_output().1.pop();
     assert!(
-        matches!(told, Some(Out::Tell(_, Tell::Standing { changes, .. })) if changes == LOG.0 as f64 / 20.0)
+        matches!(told, Some(Output::Response(_, VoterResponse::Status { changes, .. })) if changes == MAX_LOG_VERSIONS as f64 / 20.0)
     );
 }
 
 #[test]
 fn the_log_is_bounded_in_versions_and_in_bytes() {
     let (v, _) = learned(1..=400, text);
-    assert_eq!((v.durable().log.len(), v.durable().log[0].number), (LOG.0, 401 - LOG.0 as u64));
+    assert_eq!(
+        (v.durable().log.len(), v.durable().log[0].number),
+        (MAX_LOG_VERSIONS, 401 - MAX_LOG_VERSIONS as u64)
+    );
     // Each changes all of 100 KB: few fit, and the newest does even when it alone is as large as a document may be.
     let (v, _) = learned(1..=20, |n| char::from(b'a' + n as u8).to_string().repeat(100_000));
     let bytes: usize = v.durable().log.iter().map(Delta::bytes).sum();
-    assert!((3..=5).contains(&v.durable().log.len()) && bytes <= LOG.1, "{bytes}");
+    assert!((3..=5).contains(&v.durable().log.len()) && bytes <= MAX_LOG_BYTES, "{bytes}");
     let (v, _) = learned(1..=3, |n| char::from(b'a' + n as u8).to_string().repeat(MAX_DOCUMENT));
     assert_eq!(v.durable().log.back().map(|d| d.number), Some(3));
 }
@@ -302,14 +306,16 @@
 #[test]
 fn what_was_written_before_chains_reads_as_without_any() {
     let ask = r#"{"renew":{"name":"d","boot":1,"seq":2,"have":3,"lease":1.0,"left":0.5,"acts":""}}"#;
-    assert!(matches!(serde_json::from_str(ask), Ok(Ask::Renew { wants: Wants::Document, .. })));
+    assert!(matches!(serde_json::from_str(ask), Ok(ClientRequest::Renew { wants: CatchUp::Document, .. })));
     let told = r#"{"granted":{"seq":2,"newest":3,"pending":false,"document":null}}"#;
-    assert!(matches!(serde_json::from_str(told), Ok(Tell::Granted { chain, .. }) if chain.is_empty()));
+    assert!(
+        matches!(serde_json::from_str(told), Ok(VoterResponse::Granted { chain, .. }) if chain.is_empty())
+    );
     let store = r#"{"fleet":"f","founders":[0],"chosen":[{"number":3,"value":{"id":1,"text":"t"}}],
                     "promised":{"round":0,"voter":0},"accepted":null,"votes_from":1}"#;
-    let durable: Durable = serde_json::from_str(store).unwrap();
+    let durable: DurableState = serde_json::from_str(store).unwrap();
     assert!(durable.newest() == 3 && durable.log.is_empty() && durable.chain(2).is_none());
     // And the other way round: what has no chain says nothing of one.
-    let plain = Tell::Granted { seq: 2, newest: 3, pending: false, document: None, chain: vec![] };
+    let plain = VoterResponse::Granted { seq: 2, newest: 3, pending: false, document: None, chain: vec![] };
     assert_eq!(serde_json::to_string(&plain).unwrap(), told);
 }
--- a/crates/kelpdoor-agreement/tests/exhaustive.rs
+++ b/crates/kelpdoor-agreement/tests/exhaustive.rs
@@ -6,7 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use kelpdoor_agreement::{Ask, Ballot, Chosen, Durable, Out, Value, Voter, VoterId, Word};
+use kelpdoor_agreement::{
+    Ballot, Chosen, ClientRequest, DurableState, Output, Value, Voter, VoterId, VoterMessage,
+};
 use texts::READING;
 
 const FOUNDERS: [VoterId; 3] = [VoterId(0), VoterId(1), VoterId(2)];
@@ -16,7 +18,7 @@
     let of = |salt: u8| {
         let mut h = DefaultHasher::new();
         salt.hash(&mut h);
-        voters.iter().for_each(|v| v.shape().hash(&mut h));
+        voters.iter().for_each(|v| v.decision_state().hash(&mut h));
         rest.hash(&mut h);
         h.finish()
     };
@@ -27,7 +29,7 @@
 struct State {
     voters: Vec<Voter>,
     /// On the way, each at most once; a word that is never delivered is one that was lost.
-    net: BTreeSet<(VoterId, VoterId, Word)>,
+    net: BTreeSet<(VoterId, VoterId, VoterMessage)>,
     restarts: u8,
     /// Tries begun again, by either proposer.
     again: u8,
@@ -42,15 +44,15 @@
 
     /// Takes out what a voter has to say; `lost`: it dies between its write and its words.
     fn flush(&mut self, k: usize, lost: bool) {
-        let (_, out) = self.voters[k].take_out();
+        let (_, out) = self.voters[k].take_output();
         if let Some((ballot, value)) = &self.voters[k].durable().accepted {
             self.accepted.entry((*ballot, value.id)).or_default().insert(VoterId(k as u8));
         }
         for o in out {
             // What is chosen is judged by who accepted: word of it would multiply the states.
-            if let Out::To(to, word) = o
+            if let Output::Message(to, word) = o
                 && !lost
-                && !matches!(word, Word::Learn { .. })
+                && !matches!(word, VoterMessage::Learn { .. })
             {
                 self.net.insert((VoterId(k as u8), to, word));
             }
@@ -69,11 +71,12 @@
 }
 
 fn explore(proposers: usize, restarts: u8, again: u8, most: usize) -> (usize, usize) {
-    let voters = FOUNDERS.map(|v| Voter::new(v, Durable::founded("f", &FOUNDERS), READING, 7, 0.0)).to_vec();
+    let voters =
+        FOUNDERS.map(|v| Voter::new(v, DurableState::founded("f", &FOUNDERS), READING, 7, 0.0)).to_vec();
     let mut first = State { voters, net: BTreeSet::new(), restarts, again, accepted: BTreeMap::new() };
     for k in 0..proposers {
         let value = Value { id: k as u64 + 1, text: format!("text {k}") };
-        first.voters[k].ask(0.0, 1, Ask::Propose { after: 0, value, sure: false });
+        first.voters[k].handle_request(0.0, 1, ClientRequest::Propose { after: 0, value, sure: false });
         first.flush(k, false);
     }
     let mut seen = HashSet::from([first.key()]);
@@ -96,7 +99,7 @@
                 s.net.remove(word);
                 let (from, to, word) = word.clone();
                 let to = usize::from(to.0);
-                s.voters[to].hear(0.0, from, word);
+                s.voters[to].handle_message(0.0, from, word);
                 s.flush(to, lost);
                 if lost {
                     s.restart(to);
@@ -160,7 +163,7 @@
 #[derive(Clone)]
 struct Handing {
     voters: Vec<Voter>,
-    net: BTreeSet<(VoterId, VoterId, Word)>,
+    net: BTreeSet<(VoterId, VoterId, VoterMessage)>,
     proposals: u8,
     again: u8,
     restarts: u8,
@@ -177,7 +180,7 @@
     }
 
     fn flush(&mut self, k: usize) {
-        let (_, out) = self.voters[k].take_out();
+        let (_, out) = self.voters[k].take_output();
         let (d, me) = (self.voters[k].durable(), VoterId(k as u8));
         if let Some((ballot, value)) = &d.accepted {
             self.accepted.entry((d.newest() + 1, *ballot, value.id)).or_default().insert(me);
@@ -185,9 +188,11 @@
         for o in out {
             match o {
                 // The words of who looks whether it lacks anything: none does here that is not told otherwise.
-                Out::To(_, Word::Want { .. }) | Out::Others(Word::Want { .. }) | Out::Tell(..) => {}
-                Out::To(to, word) => self.put(me, to, word),
-                Out::Others(word) => {
+                Output::Message(_, VoterMessage::Want { .. })
+                | Output::Broadcast(VoterMessage::Want { .. })
+                | Output::Response(..) => {}
+                Output::Message(to, word) => self.put(me, to, word),
+                Output::Broadcast(word) => {
                     let others = (0..self.voters.len() as u8).map(VoterId).filter(|v| *v != me);
                     others.for_each(|to| self.put(me, to, word.clone()));
                 }
@@ -196,13 +201,13 @@
         // What tells nobody anything is as good as lost.
         let known: Vec<u64> = self.voters.iter().map(|v| v.durable().newest()).collect();
         self.net.retain(
-            |(_, to, w)| !matches!(w, Word::Learn { number, .. } if *number <= known[usize::from(to.0)]),
+            |(_, to, w)| !matches!(w, VoterMessage::Learn { number, .. } if *number <= known[usize::from(to.0)]),
         );
     }
 
-    fn put(&mut self, from: VoterId, to: VoterId, word: Word) {
+    fn put(&mut self, from: VoterId, to: VoterId, word: VoterMessage) {
         // Whoever says that a version is chosen says the same.
-        let from = if matches!(word, Word::Learn { .. }) { to } else { from };
+        let from = if matches!(word, VoterMessage::Learn { .. }) { to } else { from };
         self.net.insert((from, to, word));
     }
 
@@ -217,27 +222,27 @@
 
 fn hand_over(proposals: u8, again: u8, restarts: u8, most: usize) -> (usize, usize) {
     let first = Chosen { number: 1, value: Value { id: 1, text: BEFORE.into() } };
-    let knows = |votes_from| Durable {
+    let knows = |votes_from| DurableState {
         chosen: vec![first.clone()],
         votes_from: Some(votes_from),
-        ..Durable::founded("f", &FOUNDERS)
+        ..DurableState::founded("f", &FOUNDERS)
     };
     // Voter 3 heard the others at version 1.
     let voters = (0..4).map(|k| Voter::new(VoterId(k), knows(if k < 3 { 1 } else { 3 }), READING, 7, 0.0));
     let (net, accepted) = (BTreeSet::new(), BTreeMap::new());
     let mut start = Handing { voters: voters.collect(), net, proposals, again, restarts, accepted };
     let value = Value { id: 2, text: AFTER.into() };
-    start.voters[0].ask(0.0, 1, Ask::Propose { after: 1, value, sure: false });
+    start.voters[0].handle_request(0.0, 1, ClientRequest::Propose { after: 1, value, sure: false });
     start.flush(0);
     // One majority has promised; voter 2 may hear of nothing for long.
     for (from, to, word) in std::mem::take(&mut start.net) {
         if to == VoterId(1) {
-            start.voters[1].hear(0.0, from, word);
+            start.voters[1].handle_message(0.0, from, word);
             start.flush(1);
         }
     }
     for (from, _, word) in std::mem::take(&mut start.net) {
-        start.voters[0].hear(0.0, from, word);
+        start.voters[0].handle_message(0.0, from, word);
     }
     start.flush(0);
     let mut seen = HashSet::from([start.key()]);
@@ -256,7 +261,7 @@
             let mut s = state.clone();
             s.net.remove(word);
             let (from, to, word) = word.clone();
-            s.voters[usize::from(to.0)].hear(0.0, from, word);
+            s.voters[usize::from(to.0)].handle_message(0.0, from, word);
             s.flush(usize::from(to.0));
             next.push(s);
         }
@@ -266,7 +271,7 @@
                 let mut s = state.clone();
                 s.proposals -= 1;
                 let value = Value { id: 10 + k as u64, text: format!("{k} by 0 1 3") };
-                s.voters[k].ask(0.0, 1, Ask::Propose { after: 2, value, sure: false });
+                s.voters[k].handle_request(0.0, 1, ClientRequest::Propose { after: 2, value, sure: false });
                 s.flush(k);
                 next.push(s);
             }
--- a/crates/kelpdoor-agreement/tests/simulated.rs
+++ b/crates/kelpdoor-agreement/tests/simulated.rs
@@ -6,7 +6,10 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use fastrand::Rng;
-use kelpdoor_agreement::{Ask, Chosen, Durable, Follower, Out, Tell, Value, Voter, VoterId, Word, lease_of};
+use kelpdoor_agreement::{
+    Chosen, ClientRequest, DurableState, Follower, Output, Value, Voter, VoterId, VoterMessage,
+    VoterResponse, lease_duration,
+};
 use texts::{READING, Texts};
 
 /// s; what documents here state where nothing else is said.
@@ -22,11 +25,11 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Voter(usize, u64, VoterId, Word),
-    Asked(usize, u64, usize, Ask),
-    Told(usize, u64, usize, Tell),
-    Proposed(usize, Ask),
-    Outcome(Value, Tell),
+    Voter(usize, u64, VoterId, VoterMessage),
+    Asked(usize, u64, usize, ClientRequest),
+    Told(usize, u64, usize, VoterResponse),
+    Proposed(usize, ClientRequest),
+    Outcome(Value, VoterResponse),
     /// At that voter, or at any.
     Propose(Option<usize>),
     Trouble,
@@ -67,7 +70,7 @@
     due: BinaryHeap<Due>,
     voters: Vec<Voter>,
     /// What each voter last wrote: it comes back with that.
-    disks: Vec<Durable>,
+    disks: Vec<DurableState>,
     followers: Vec<Follower<Texts>>,
     /// s, as the documents state it.
     contradiction: f64,
@@ -109,7 +112,8 @@
             .collect();
         let ids: Vec<VoterId> = (0..founders as u8).map(VoterId).collect();
         let of = |k: usize| {
-            let durable = if k < founders { Durable::founded("f", &ids) } else { Durable::lost("f") };
+            let durable =
+                if k < founders { DurableState::founded("f", &ids) } else { DurableState::lost("f") };
             Voter::new(VoterId(k as u8), durable, READING, seed ^ k as u64, 0.0)
         };
         let director = |k: usize| Follower::new(&format!("d{k}"), seed + k as u64, None, ());
@@ -169,13 +173,13 @@
     }
 
     fn flush(&mut self, k: usize) {
-        let (write, out) = self.voters[k].take_out();
+        let (write, out) = self.voters[k].take_output();
         if let Some(durable) = write {
             self.disks[k] = durable;
         }
         for o in &out {
             // Nothing is told of a version that a restart would not know of.
-            if let Out::Tell(_, Tell::Granted { chain, .. }) = o
+            if let Output::Response(_, VoterResponse::Granted { chain, .. }) = o
                 && let Some(d) = chain.iter().find(|d| !self.disks[k].log.contains(d))
             {
                 self.wrong.push(format!(
@@ -192,19 +196,19 @@
         for o in out {
             match o {
                 _ if lost => {}
-                Out::To(to, word) => self.say(k, usize::from(to.0), word),
-                Out::Others(word) => {
+                Output::Message(to, word) => self.say(k, usize::from(to.0), word),
+                Output::Broadcast(word) => {
                     for to in (0..self.voters.len()).filter(|to| *to != k) {
                         self.say(k, to, word.clone());
                     }
                 }
-                Out::Tell(client, tell) if client < 1000 => {
+                Output::Response(client, tell) if client < 1000 => {
                     let f = client as usize;
                     let site = self.voters.len() + f;
                     let event = Event::Told(f, self.sites[site].life, k, tell);
                     self.carry(k, site, event);
                 }
-                Out::Tell(id, tell) => {
+                Output::Response(id, tell) => {
                     let value = Value { id, text: String::new() };
                     self.at(self.t, Event::Outcome(value, tell));
                 }
@@ -215,14 +219,14 @@
         }
     }
 
-    fn say(&mut self, from: usize, to: usize, word: Word) {
+    fn say(&mut self, from: usize, to: usize, word: VoterMessage) {
         let event = Event::Voter(to, self.sites[to].life, VoterId(from as u8), word);
         self.carry(from, to, event);
     }
 
     fn restart(&mut self, k: usize, disk_lost: bool) {
         if disk_lost {
-            self.disks[k] = Durable::lost("f");
+            self.disks[k] = DurableState::lost("f");
         }
         let durable = self.disks[k].clone();
         self.sites[k].life += 1;
@@ -296,7 +300,7 @@
             }
             _ => {
                 let f = self.rng.usize(..d);
-                let kept = self.followers[f].known().cloned();
+                let kept = self.followers[f].known_version().cloned();
                 self.sites[v + f].life += 1;
                 let boot = self.rng.u64(..);
                 self.followers[f] = Follower::new(&format!("d{f}"), boot, kept, ());
@@ -318,7 +322,7 @@
         if t >= self.polled[f].1 && !self.paused(0) && !cut(site, 0) && !cut(0, site) {
             self.polled[f] = (
                 self.voters[0].durable().newest().max(self.polled[f].0),
-                t + 0.25 * lease_of(self.contradiction),
+                t + 0.25 * lease_duration(self.contradiction),
             );
         }
         let acts = self.polled[f].0;
@@ -336,10 +340,11 @@
             return;
         }
         let now = self.local(site);
-        if let Some(c) = self.followers[f].known().cloned() {
+        if let Some(c) = self.followers[f].known_version().cloned() {
             self.content(c);
         }
-        let Some(a) = self.followers[f].acting(now).filter(|a| a.from <= now && now < a.until) else {
+        let Some(a) = self.followers[f].active_versions(now).filter(|a| a.from <= now && now < a.until)
+        else {
             return;
         };
         self.acted += 1;
@@ -373,7 +378,7 @@
         }
         let now = self.local(site);
         for k in 0..self.voters.len() {
-            if let Some(ask) = self.followers[f].ask(now, VoterId(k as u8)) {
+            if let Some(ask) = self.followers[f].next_request(now, VoterId(k as u8)) {
                 let event = Event::Asked(k, self.sites[k].life, f, ask);
                 self.carry(site, k, event);
             }
@@ -391,7 +396,7 @@
                     return self.at(at, Event::Voter(k, life, from, word));
                 }
                 let now = self.local(k);
-                self.voters[k].hear(now, from, word);
+                self.voters[k].handle_message(now, from, word);
                 self.flush(k);
             }
             Event::Asked(k, life, f, ask) => {
@@ -403,7 +408,7 @@
                     return self.at(at, Event::Asked(k, life, f, ask));
                 }
                 let now = self.local(k);
-                self.voters[k].ask(now, f as u64, ask);
+                self.voters[k].handle_request(now, f as u64, ask);
                 self.flush(k);
             }
             Event::Told(f, life, k, tell) => {
@@ -416,7 +421,7 @@
                     return self.at(at, Event::Told(f, life, k, tell));
                 }
                 let now = self.local(site);
-                let _ = self.followers[f].heard(now, VoterId(k as u8), tell);
+                let _ = self.followers[f].handle_response(now, VoterId(k as u8), tell);
                 self.look(f);
             }
             Event::Proposed(k, ask) => {
@@ -424,13 +429,13 @@
                     let at = self.sites[k].paused_until;
                     return self.at(at, Event::Proposed(k, ask));
                 }
-                let Ask::Propose { value, .. } = &ask else { return };
+                let ClientRequest::Propose { value, .. } = &ask else { return };
                 let (now, client) = (self.local(k), value.id);
-                self.voters[k].ask(now, client, ask);
+                self.voters[k].handle_request(now, client, ask);
                 self.flush(k);
             }
             Event::Outcome(value, tell) => {
-                if let Tell::Agreed { number } = tell {
+                if let VoterResponse::Agreed { number } = tell {
                     self.acknowledged.push((number, value));
                 }
             }
@@ -441,7 +446,7 @@
                 self.next_id += 1;
                 let id = 1000 + self.next_id;
                 let value = Value { id, text: text(id, &self.list(k), self.contradiction) };
-                self.at(self.t, Event::Proposed(k, Ask::Propose { after, value, sure: false }));
+                self.at(self.t, Event::Proposed(k, ClientRequest::Propose { after, value, sure: false }));
                 if at.is_none() && self.t < TROUBLE {
                     let wait = self.propose_every * self.rng.f64().powi(2);
                     self.at(self.t + wait, Event::Propose(None));
@@ -499,8 +504,8 @@
         let last = self.contents.keys().max().copied().unwrap_or(0);
         for f in 0..self.followers.len() {
             let now = self.local(self.voters.len() + f);
-            let acting = self.followers[f].acting(now);
-            if !acting.is_some_and(|a| a.version.number == last && a.beside.is_empty() && now < a.until) {
+            let acting = self.followers[f].active_versions(now);
+            if !acting.is_some_and(|a| a.version.number == last && a.older.is_empty() && now < a.until) {
                 self.wrong.push(format!("director {f} does not act on version {last} in the end"));
             }
         }
@@ -610,7 +615,7 @@
         let propose = |sim: &mut Sim, after: u64| {
             let value = Value { id: 2000 + after, text: text(after, &[0, 1, 2], CONTRADICTION) };
             let at = sim.t;
-            sim.at(at, Event::Proposed(0, Ask::Propose { after, value, sure: false }));
+            sim.at(at, Event::Proposed(0, ClientRequest::Propose { after, value, sure: false }));
         };
         sim.at(0.0, Event::Look);
         propose(&mut sim, 0);
@@ -627,13 +632,13 @@
                 let of = |f: usize| {
                     let now = sim.local(3 + f);
                     sim.followers[f]
-                        .acting(now)
+                        .active_versions(now)
                         .filter(|a| a.version.number == 2 && a.from <= now && now < a.until)
                 };
                 let all: Vec<_> = (0..directors).map_while(of).collect();
                 if all.len() == directors {
                     beside.get_or_insert(t - begin);
-                    if all.iter().all(|a| a.beside.is_empty()) {
+                    if all.iter().all(|a| a.older.is_empty()) {
                         alone.get_or_insert(t - begin);
                     }
                 }
@@ -664,6 +669,6 @@
     println!(
         "{directors} directors, a voter gone: {gone}: all heed it after {beside:.2} s, act on it alone after {alone:.2} s, at most"
     );
-    let lease = lease_of(CONTRADICTION);
+    let lease = lease_duration(CONTRADICTION);
     assert!(beside < lease && alone < CONTRADICTION + 0.1, "{beside} {alone}");
 }
--- a/crates/kelpdoor-agreement/tests/texts/mod.rs
+++ b/crates/kelpdoor-agreement/tests/texts/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use kelpdoor_agreement::{Reading, Rules, VoterId, lease_of};
+use kelpdoor_agreement::{DocumentReader, Rules, VoterId, lease_duration};
 
 /// `.. by 0 1 2 for 14`: who decides after it, by default the first three, and the longest contradiction, by default 2 s.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 }
 
 impl Rules for Texts {
-    type Own = ();
+    type LocalSettings = ();
 
     fn read((): &(), text: &str) -> Result<Self, String> {
         if text.starts_with("bad") {
@@ -41,16 +41,17 @@
     }
 
     fn lease(&self) -> f64 {
-        lease_of(contradiction(&self.newest))
+        lease_duration(contradiction(&self.newest))
     }
 
     fn voters(&self) -> Vec<VoterId> {
         voters(&self.newest)
     }
 
-    fn beside(older: &Self, newer: &Self) -> Self {
+    fn merge(older: &Self, newer: &Self) -> Self {
         Texts { all: &older.all | &newer.all, oldest: older.oldest.clone(), newest: newer.newest.clone() }
     }
 }
 
-pub const READING: Reading = Reading { lease: |text| lease_of(contradiction(text)), voters };
+pub const READING: DocumentReader =
+    DocumentReader { lease: |text| lease_duration(contradiction(text)), voters };
--- a/crates/kelpdoor-keeper/src/voter.rs
+++ b/crates/kelpdoor-keeper/src/voter.rs
@@ -8,9 +8,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use kelpdoor_agreement::keys::may_follow;
+use kelpdoor_agreement::keys::check_transition;
 use kelpdoor_agreement::{
-    Ask, Durable, MAX_DOCUMENT, MAX_LINE, Out, Reading, Tell, Voter, VoterId, Word, lease_of,
+    ClientRequest, DocumentReader, DurableState, MAX_DOCUMENT, MAX_LINE, Output, Voter, VoterId,
+    VoterMessage, VoterResponse, lease_duration,
 };
 use kelpdoor_clock::BootClock;
 use kelpdoor_script::{AgreedSettings, SettingsError};
@@ -51,8 +52,8 @@
 }
 
 /// How agreed documents are read. One that does not read, which no voter lets pass, grants no lease and names nobody.
-pub const READING: Reading = Reading {
-    lease: |text| read(text).map_or(UNREAD, |s| lease_of(s.directors.contradiction)),
+pub const READING: DocumentReader = DocumentReader {
+    lease: |text| read(text).map_or(UNREAD, |s| lease_duration(s.directors.contradiction)),
     voters: |text| {
         read(text).map_or_else(|_| Vec::new(), |s| s.voters.at.keys().copied().map(VoterId).collect())
     },
@@ -103,12 +104,12 @@
 }
 
 enum Come {
-    Socket(Came<Ask, Tell>),
+    Socket(Came<ClientRequest, VoterResponse>),
     End,
 }
 
-impl From<Came<Ask, Tell>> for Come {
-    fn from(came: Came<Ask, Tell>) -> Self {
+impl From<Came<ClientRequest, VoterResponse>> for Come {
+    fn from(came: Came<ClientRequest, VoterResponse>) -> Self {
         Come::Socket(came)
     }
 }
@@ -150,7 +151,8 @@
         return Err(io::Error::other("a fleet is founded by three or five voters, this one among them"));
     }
     let path = options.store.clone();
-    let kept = tokio::task::spawn_blocking(move || kelpdoor_kept::load::<Durable>(&path, FORMAT)).await?;
+    let kept =
+        tokio::task::spawn_blocking(move || kelpdoor_kept::load::<DurableState>(&path, FORMAT)).await?;
     let shown = options.store.display();
     let durable = match (kept.map_err(io::Error::other)?, options.found) {
         (Some(_), true) => {
@@ -161,10 +163,10 @@
             return Err(io::Error::other(why));
         }
         (Some(d), false) => d,
-        (None, true) => Durable::founded(&named, &founders),
+        (None, true) => DurableState::founded(&named, &founders),
         (None, false) => {
             tracing::warn!("{shown}: no store; not voting before the others are heard and have gone on");
-            Durable::lost(&named)
+            DurableState::lost(&named)
         }
     };
     save(&options.store, durable.clone()).await.map_err(io::Error::other)?;
@@ -172,11 +174,16 @@
     let address = listener.local_addr()?;
     let steady = BootClock::new(options.clock_rate);
     let voter = Voter::new(options.me, durable, READING, fastrand::u64(..), steady.now());
-    tracing::info!(newest = voter.durable().newest(), votes = voter.durable().votes(), "voting");
+    tracing::info!(newest = voter.durable().newest(), votes = voter.durable().may_vote(), "voting");
     let (to, from) = mpsc::channel(ASKS);
     let mut tasks = JoinSet::new();
     let (heard, said) = mpsc::channel(WORDS);
-    tasks.spawn(accept::<Ask, Tell, Come>(listener, to.clone(), MAX_LINE, Tell::Fault));
+    tasks.spawn(accept::<ClientRequest, VoterResponse, Come>(
+        listener,
+        to.clone(),
+        MAX_LINE,
+        VoterResponse::Fault,
+    ));
     let peers = Lines::new(&fleet, heard);
     let mut shell = Shell {
         me: options.me,
@@ -200,7 +207,7 @@
 }
 
 /// On disk when this returns.
-async fn save(path: &std::path::Path, durable: Durable) -> Result<(), String> {
+async fn save(path: &std::path::Path, durable: DurableState) -> Result<(), String> {
     let path = path.to_owned();
     let saved = tokio::task::spawn_blocking(move || kelpdoor_kept::save(&path, FORMAT, &durable)).await;
     saved.map_err(|e| e.to_string())?.map_err(|e| e.to_string())
@@ -215,7 +222,7 @@
     first: BTreeMap<u8, SocketAddr>,
     reach: BTreeMap<u8, SocketAddr>,
     peers: Lines,
-    conns: HashMap<u64, mpsc::Sender<Tell>>,
+    conns: HashMap<u64, mpsc::Sender<VoterResponse>>,
     /// Connections that named our fleet.
     welcome: HashSet<u64>,
     /// By voter, the connection on which it last spoke: the way back to one that there is no line to.
@@ -245,7 +252,7 @@
     ) -> Result<(), String> {
         loop {
             let mut word = None;
-            let wait = (self.voter.next() - self.steady.now()).clamp(0.001, IDLE.as_secs_f64());
+            let wait = (self.voter.next_timer_at() - self.steady.now()).clamp(0.001, IDLE.as_secs_f64());
             let first = tokio::select! {
                 first = from.recv() => first,
                 heard = said.recv() => {
@@ -257,7 +264,7 @@
             let now = self.steady.now();
             let mut end = false;
             self.voter.tick(now);
-            if let Some((place, Heard::Told(Tell::Voter { word }))) = word {
+            if let Some((place, Heard::Told(VoterResponse::Voter { word }))) = word {
                 self.hear(now, place, word);
             }
             if let Some(first) = first {
@@ -267,7 +274,7 @@
                 let Ok(next) = from.try_recv() else { break };
                 end |= self.come(now, next);
             }
-            let (write, out) = self.voter.take_out();
+            let (write, out) = self.voter.take_output();
             if let Some(durable) = write {
                 save(&self.store, durable).await?;
             }
@@ -286,7 +293,7 @@
         self.peers.dial(all);
     }
 
-    fn say(&mut self, out: Vec<Out>) {
+    fn say(&mut self, out: Vec<Output>) {
         if let Some((number, digest)) =
             self.voter.newest().filter(|c| c.number > self.told).map(|c| (c.number, c.digest()))
         {
@@ -304,22 +311,24 @@
         let from = self.me;
         for o in out {
             match o {
-                Out::To(to, word) if self.peers.has(to) => self.peers.ask(to, Ask::Voter { from, word }),
-                Out::To(to, word) => {
+                Output::Message(to, word) if self.peers.has(to) => {
+                    self.peers.ask(to, ClientRequest::Voter { from, word })
+                }
+                Output::Message(to, word) => {
                     if let Some(conn) = self.asked_on.get(&to).copied() {
-                        self.tell(conn, Tell::Voter { word });
+                        self.tell(conn, VoterResponse::Voter { word });
                     }
                 }
-                Out::Others(word) => {
+                Output::Broadcast(word) => {
                     let all = self.peers.voters();
-                    all.for_each(|to| self.peers.ask(to, Ask::Voter { from, word: word.clone() }));
+                    all.for_each(|to| self.peers.ask(to, ClientRequest::Voter { from, word: word.clone() }));
                 }
-                Out::Tell(conn, tell) => self.tell(conn, tell),
+                Output::Response(conn, tell) => self.tell(conn, tell),
             }
         }
     }
 
-    fn tell(&mut self, conn: u64, tell: Tell) {
+    fn tell(&mut self, conn: u64, tell: VoterResponse) {
         if self.conns.get(&conn).is_some_and(|to| to.try_send(tell).is_err()) {
             // It does not read: closed.
             self.conns.remove(&conn);
@@ -343,40 +352,44 @@
         false
     }
 
-    fn asked(&mut self, now: f64, conn: u64, ask: Ask) {
+    fn asked(&mut self, now: f64, conn: u64, ask: ClientRequest) {
         match ask {
-            Ask::Hello { fleet } if fleet == self.fleet => {
+            ClientRequest::Hello { fleet } if fleet == self.fleet => {
                 self.welcome.insert(conn);
-                self.tell(conn, Tell::Welcome { me: self.me });
+                self.tell(conn, VoterResponse::Welcome { me: self.me });
             }
-            Ask::Hello { fleet } => {
+            ClientRequest::Hello { fleet } => {
                 tracing::warn!(conn, %fleet, "of another fleet");
                 let why = format!("this is a voter of fleet {:?}, not of {fleet:?}", self.fleet);
-                self.tell(conn, Tell::Fault(why));
+                self.tell(conn, VoterResponse::Fault(why));
                 self.conns.remove(&conn);
             }
             _ if !self.welcome.contains(&conn) => {
-                self.tell(conn, Tell::Fault("the first line names the fleet".to_owned()));
+                self.tell(conn, VoterResponse::Fault("the first line names the fleet".to_owned()));
                 self.conns.remove(&conn);
             }
-            Ask::Ping => self.tell(conn, Tell::Pong),
-            Ask::Propose { after, value, sure } => match self.may_follow(now, after, &value.text, sure) {
-                Err(why) => self.tell(conn, Tell::NotTaken { why }),
-                Ok(()) => self.voter.ask(now, conn, Ask::Propose { after, value, sure }),
-            },
-            Ask::Voter { from, word } => {
+            ClientRequest::Ping => self.tell(conn, VoterResponse::Pong),
+            ClientRequest::Propose { after, value, sure } => {
+                match self.may_follow(now, after, &value.text, sure) {
+                    Err(why) => self.tell(conn, VoterResponse::NotTaken { why }),
+                    Ok(()) => {
+                        self.voter.handle_request(now, conn, ClientRequest::Propose { after, value, sure })
+                    }
+                }
+            }
+            ClientRequest::Voter { from, word } => {
                 if self.asked_on.contains_key(&from) || self.asked_on.len() < ASKED_ON {
                     self.asked_on.insert(from, conn);
                 }
                 self.hear(now, from, word);
             }
-            ask => self.voter.ask(now, conn, ask),
+            ask => self.voter.handle_request(now, conn, ask),
         }
     }
 
-    fn hear(&mut self, now: f64, from: VoterId, word: Word) {
+    fn hear(&mut self, now: f64, from: VoterId, word: VoterMessage) {
         // A version that does not read would leave nobody to decide the next one. No voter of ours says such.
-        if let Word::Learn { number, text, .. } = &word
+        if let VoterMessage::Learn { number, text, .. } = &word
             && *number > self.voter.durable().newest()
             && let Err(faults) = read(text)
         {
@@ -384,7 +397,7 @@
             return;
         }
         if from != self.me {
-            self.voter.hear(now, from, word);
+            self.voter.handle_message(now, from, word);
         }
     }
 
@@ -397,7 +410,7 @@
         let new = read(text).map_err(faults)?;
         let Some(newest) = self.voter.newest().filter(|c| c.number == after) else { return Ok(()) };
         let old = read(&newest.value.text).map_err(faults)?;
-        may_follow(&old, &new, sure)?;
+        check_transition(&old, &new, sure)?;
         // With too many that are not there, nothing could be agreed any more, not even to take them off again.
         let joins = new.voters.at.keys().map(|v| VoterId(*v)).filter(|v| !self.voter.deciding().contains(v));
         let absent: Vec<String> =
--- a/crates/kelpdoor-lab/src/scale/simulate.rs
+++ b/crates/kelpdoor-lab/src/scale/simulate.rs
@@ -5,7 +5,9 @@
 use std::time::Instant;
 
 use fastrand::Rng;
-use kelpdoor_agreement::{Ask, Durable, Out, Tell, Value, Voter, VoterId, Word};
+use kelpdoor_agreement::{
+    ClientRequest, DurableState, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
+};
 
 use super::follow::{self, Board, FIRST_LINE, Follower};
 
@@ -116,9 +118,9 @@
 
 #[derive(Debug)]
 enum Event {
-    Word(usize, VoterId, Word),
-    Asked(usize, u64, Ask),
-    Told(usize, usize, Tell),
+    Word(usize, VoterId, VoterMessage),
+    Asked(usize, u64, ClientRequest),
+    Told(usize, usize, VoterResponse),
     Tick(usize),
     /// A director's question is due, or what it may do changes by itself.
     Due(usize),
@@ -126,7 +128,7 @@
     Change,
     /// An operator proposes, to that voter.
     Propose(u64, usize),
-    Outcome(u64, Tell),
+    Outcome(u64, VoterResponse),
 }
 
 /// By time, then by number.
@@ -203,10 +205,10 @@
         let rates = (0..v + d).map(|_| 1.0 + APART * (rng.f64() - 0.5)).collect();
         let ids: Vec<VoterId> = (0..v as u8).map(VoterId).collect();
         let voter = |k: usize| {
-            let durable = Durable::founded("scale", &ids);
+            let durable = DurableState::founded("scale", &ids);
             Voter::new(VoterId(k as u8), durable, FIRST_LINE, plan.seed ^ k as u64, 0.0)
         };
-        let lease = kelpdoor_agreement::lease_of(plan.contradiction);
+        let lease = kelpdoor_agreement::lease_duration(plan.contradiction);
         let begin = SETTLE * lease.max(1.0);
         let span = (begin, begin + plan.span);
         // Spread evenly, so that each region has its part of them.
@@ -309,33 +311,33 @@
     }
 
     fn flush(&mut self, k: usize) {
-        let (write, out) = self.voters[k].take_out();
+        let (write, out) = self.voters[k].take_output();
         if write.is_some() {
             self.busy[k] = self.t + WRITE.0 + (WRITE.1 - WRITE.0) * self.rng.f64();
         }
         let sent = self.busy[k].max(self.t);
         for o in out {
             match o {
-                Out::To(to, word) => {
+                Output::Message(to, word) => {
                     let to = usize::from(to.0);
                     self.carry(sent, k, to, Event::Word(to, VoterId(k as u8), word));
                 }
-                Out::Others(word) => {
+                Output::Broadcast(word) => {
                     for to in (0..self.voters.len()).filter(|to| *to != k) {
                         self.carry(sent, k, to, Event::Word(to, VoterId(k as u8), word.clone()));
                     }
                 }
-                Out::Tell(client, tell) if client < OPERATORS => {
+                Output::Response(client, tell) if client < OPERATORS => {
                     let f = client as usize;
                     self.carry(sent, k, self.plan.voters + f, Event::Told(f, k, tell));
                 }
-                Out::Tell(client, tell) => {
+                Output::Response(client, tell) => {
                     let late = LATE.0 + (LATE.1 - LATE.0) * self.rng.f64();
                     self.at(sent + late, Event::Outcome(client - OPERATORS, tell));
                 }
             }
         }
-        let next = (self.voters[k].next() / self.rates[k]).max(self.t + 0.001);
+        let next = (self.voters[k].next_timer_at() / self.rates[k]).max(self.t + 0.001);
         if next < self.tick_at[k] || self.tick_at[k] <= self.t {
             self.tick_at[k] = next;
             self.at(next, Event::Tick(k));
@@ -353,7 +355,7 @@
             self.carry(self.t, site, k, Event::Asked(k, f as u64, ask));
         }
         self.board.look(self.t, f, &self.followers[f], now, |local| local / rate);
-        let due = self.followers[f].ask_at().min(self.followers[f].changes_at(now)) / rate;
+        let due = self.followers[f].next_request_at().min(self.followers[f].next_change_at(now)) / rate;
         // A moment after it is due, or a sum of times may fall short of it.
         let due = (due + SOON).max(self.t + SOON);
         if due < self.due_at[f] || self.due_at[f] <= self.t {
@@ -386,17 +388,17 @@
             self.out.given_up += 1;
             return;
         }
-        let ask = Ask::Propose { after: o.after, value: o.value.clone(), sure: false };
+        let ask = ClientRequest::Propose { after: o.after, value: o.value.clone(), sure: false };
         let late = LATE.0 + (LATE.1 - LATE.0) * self.rng.f64();
         self.out.proposals += u64::from(self.t >= self.span.0);
         self.at(self.t + late, Event::Asked(k, OPERATORS + n, ask));
     }
 
-    fn outcome(&mut self, n: u64, tell: Tell) {
+    fn outcome(&mut self, n: u64, tell: VoterResponse) {
         let home = self.home();
         let Some(o) = self.operators.get_mut(&n) else { return };
         match tell {
-            Tell::Agreed { number } => {
+            VoterResponse::Agreed { number } => {
                 let first = o.first;
                 self.operators.remove(&n);
                 self.board.agreed(number, first, self.t);
@@ -410,14 +412,14 @@
                     }
                 }
             }
-            Tell::Lost { newest, .. } => {
+            VoterResponse::Lost { newest, .. } => {
                 // Made anew from what came first, and proposed at once.
                 o.after = newest;
                 o.value.id = self.rng.u64(..);
                 self.out.lost += u64::from(self.t >= self.span.0);
                 self.at(self.t, Event::Propose(n, home));
             }
-            Tell::NotTaken { .. } | Tell::Unknown { .. } => {
+            VoterResponse::NotTaken { .. } | VoterResponse::Unknown { .. } => {
                 // The same at the next voter, as the daemon's own command does; after the last one, after a while.
                 let next = (home + o.tries as usize) % self.plan.voters;
                 let next = if self.plan.cut && next == 0 { home } else { next };
@@ -440,12 +442,12 @@
         match event {
             Event::Word(k, from, word) => {
                 let now = self.local(k);
-                self.voters[k].hear(now, from, word);
+                self.voters[k].handle_message(now, from, word);
                 self.flush(k);
             }
             Event::Asked(k, client, ask) => {
                 let now = self.local(k);
-                self.voters[k].ask(now, client, ask);
+                self.voters[k].handle_request(now, client, ask);
                 self.flush(k);
             }
             Event::Tick(k) => {
@@ -460,14 +462,14 @@
                     self.count(f, &tell, !plain);
                 }
                 let now = self.local(self.plan.voters + f);
-                if let Tell::Refused { why, .. } = &tell
+                if let VoterResponse::Refused { why, .. } = &tell
                     && (self.span.0..self.span.1).contains(&self.t)
                     && (self.out.refused.len() < KINDS || self.out.refused.contains_key(why))
                 {
                     *self.out.refused.entry(why.clone()).or_default() += 1;
                 }
                 // What is wrong with an answer is the follower's to say in a log.
-                let _ = self.followers[f].heard(now, VoterId(k as u8), tell);
+                let _ = self.followers[f].handle_response(now, VoterId(k as u8), tell);
                 self.work(f);
             }
             Event::Due(f) => {
@@ -494,7 +496,7 @@
         for k in 0..self.plan.voters {
             self.at(0.0, Event::Tick(k));
         }
-        let lease = kelpdoor_agreement::lease_of(self.plan.contradiction);
+        let lease = kelpdoor_agreement::lease_duration(self.plan.contradiction);
         for f in 0..self.plan.directors {
             // They start within a lease, and so ask at different times.
             let first = lease * self.rng.f64() / 4.0;
@@ -597,12 +599,12 @@
     let ids: Vec<VoterId> = (0..voters as u8).map(VoterId).collect();
     let text = sim.text();
     let mut follower = follow::follower("director", 1);
-    let lease = kelpdoor_agreement::lease_of(contradiction);
+    let lease = kelpdoor_agreement::lease_duration(contradiction);
     let (mut spent, mut now) = (0.0, 0.0);
     for v in &mut sim.voters {
-        let word = Word::Learn { number: 1, id: 1, text: text.clone() };
-        v.hear(0.0, ids[0], word);
-        v.take_out();
+        let word = VoterMessage::Learn { number: 1, id: 1, text: text.clone() };
+        v.handle_message(0.0, ids[0], word);
+        v.take_output();
     }
     while now < 2.0 * lease + seconds {
         let began = Instant::now();
@@ -610,12 +612,12 @@
         let mut took = began.elapsed();
         for (id, ask) in asks {
             let voter = &mut sim.voters[usize::from(id.0)];
-            voter.ask(now, 1, ask);
-            for out in voter.take_out().1 {
-                if let Out::Tell(_, tell) = out {
+            voter.handle_request(now, 1, ask);
+            for out in voter.take_output().1 {
+                if let Output::Response(_, tell) = out {
                     let began = Instant::now();
                     // An answer that does not count costs the same.
-                    let _ = follower.heard(now, id, tell);
+                    let _ = follower.handle_response(now, id, tell);
                     follow::as_a_director(&mut follower, now, voters);
                     took += began.elapsed();
                 }
@@ -624,7 +626,7 @@
         if now >= 2.0 * lease {
             spent += took.as_secs_f64();
         }
-        now = follower.ask_at().max(now + 1e-3);
+        now = follower.next_request_at().max(now + 1e-3);
     }
     spent / seconds
 }
