--- a/crates/kelpdoor-benchlink/src/decode.rs
+++ b/crates/kelpdoor-benchlink/src/decode.rs
@@ -6,7 +6,9 @@
 use kelpdoor::Round;
 use kelpdoor::Terms;
 use kelpdoor::ids::{GroupId, NodeId, SessId, TitleId};
-use kelpdoor::round::{Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase, Playing, Reading};
+use kelpdoor::round::{
+    Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase, Playing, SetupOutcome,
+};
 
 use crate::frame::{Bytes, EVENT, Head};
 use kelpdoor_terms::ReportFields;
@@ -15,7 +17,7 @@
 
 /// The process's numbered lists.
 #[derive(Default)]
-pub struct Sheets(BTreeMap<u32, Vec<Listed>>);
+pub struct Sheets(BTreeMap<u32, Vec<ListedNode>>);
 
 /// Puts one event into its instance's round.
 type Put<'a> = Box<dyn FnOnce(&mut Round, &ReportFields) + 'a>;
@@ -59,13 +61,13 @@
     Bytes(tail).slice(start, len).context("a field points outside the tail")
 }
 
-fn sheet(r: &Bytes, tail: &[u8]) -> Result<Vec<Listed>> {
+fn sheet(r: &Bytes, tail: &[u8]) -> Result<Vec<ListedNode>> {
     let entries = tail_part(r, 6, ENTRY, tail)?;
     entries.chunks_exact(ENTRY).map(|e| listed(&Bytes(e))).collect()
 }
 
-fn listed(e: &Bytes) -> Result<Listed> {
-    Ok(Listed {
+fn listed(e: &Bytes) -> Result<ListedNode> {
+    Ok(ListedNode {
         node: NodeId(e.u32(0)?),
         zone: e.u16(4)?,
         kind: e.u8(6)?,
@@ -107,9 +109,9 @@
             came(|_| ())
         }
         267 => {
-            let (node, how, load) = (NodeId(r.u32(2)?), ending(r.u8(6)?)?, gauge(r, 15)?);
+            let (node, outcome, load) = (NodeId(r.u32(2)?), ending(r.u8(6)?)?, gauge(r, 15)?);
             Indication::Came(Box::new(move |round, report| {
-                round.probed.push((node, how, report.report(&load)));
+                round.probed.push((node, outcome, report.report(&load)));
             }))
         }
         263 => {
@@ -145,7 +147,7 @@
             came(move |round| round.new_sessions.push(sess))
         }
         269 => match reading(r)? {
-            Some(reading) => came(move |round| round.readings.push(reading)),
+            Some(reading) => came(move |round| round.measurements.push(reading)),
             None => came(|_| ()),
         },
         other => bail!("the event code {other} is unknown"),
@@ -164,27 +166,27 @@
     })
 }
 
-fn reading(r: &Bytes) -> Result<Option<Reading>> {
+fn reading(r: &Bytes) -> Result<Option<Measurement>> {
     let (sess, value, node) = (SessId(r.u64(2)?), r.f32(10)?, NodeId(r.u32(14)?));
     Ok(match r.u8(19)? {
-        1 => Some(Reading::Delivered { node, share: value }),
-        2 => Some(Reading::Rung { sess, rung: value as u8 }),
-        3 => Some(Reading::Link { sess, node, asked: value }),
-        4 => Some(Reading::Uplink { sess, node, asked: value }),
+        1 => Some(Measurement::Delivered { node, share: value }),
+        2 => Some(Measurement::Rung { sess, rung: value as u8 }),
+        3 => Some(Measurement::Link { sess, node, asked: value }),
+        4 => Some(Measurement::Uplink { sess, node, asked: value }),
         _ => None,
     })
 }
 
-fn ending(code: u8) -> Result<Ending> {
+fn ending(code: u8) -> Result<SetupOutcome> {
     Ok(match code {
-        0 => Ending::Served,
-        5 => Ending::Erred,
-        11 => Ending::BusyReplied,
-        104 => Ending::Broken,
-        110 => Ending::TimedOut,
-        111 => Ending::Unreachable,
-        114 => Ending::Moot,
-        125 => Ending::Withdrawn,
+        0 => SetupOutcome::Served,
+        5 => SetupOutcome::Failed,
+        11 => SetupOutcome::BusyReplied,
+        104 => SetupOutcome::ConnectionLost,
+        110 => SetupOutcome::TimedOut,
+        111 => SetupOutcome::Unreachable,
+        114 => SetupOutcome::NeverSent,
+        125 => SetupOutcome::Withdrawn,
         other => bail!("the outcome {other} is unknown"),
     })
 }
@@ -199,7 +201,7 @@
     let ended = Ended {
         sess: SessId(r.u64(2)?),
         node: NodeId(r.u32(10)?),
-        how: ending(r.u8(22)?)?,
+        outcome: ending(r.u8(22)?)?,
         closed: r.u8(24)? != 0,
         load: LoadReport::default(),
     };
--- a/crates/kelpdoor-director/src/desk.rs
+++ b/crates/kelpdoor-director/src/desk.rs
@@ -11,7 +11,8 @@
 
 use kelpdoor::ids::{GroupId, NodeId, SessId, TitleId};
 use kelpdoor::round::{
-    Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase as ListPhase, Playing, Reading,
+    Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase as ListPhase, Playing,
+    SetupOutcome,
 };
 use kelpdoor::{Director, Orders, Round};
 use kelpdoor_api::{EndedWhy, ErrorCode, FailedWhy, FromPlayer, RequestKey, ToPlayer};
@@ -380,7 +381,7 @@
     fn barred(&mut self, id: u64) {
         let come_back = self.book.director.come_back;
         self.note(Some(id), "no lease on the rules: not set up");
-        self.give_up(id, Ending::Moot, true);
+        self.give_up(id, SetupOutcome::NeverSent, true);
         self.answer(id, |key| ToPlayer::Busy { key, come_back });
         self.over(id);
     }
@@ -418,7 +419,7 @@
             Stage::Over | Stage::Ending => {}
             Stage::Asked => {
                 if s.attempt.is_some() {
-                    self.give_up(id, Ending::Withdrawn, true);
+                    self.give_up(id, SetupOutcome::Withdrawn, true);
                 } else if s.wanted.is_none() {
                     self.round.departures.push(SessId(id));
                 }
@@ -577,7 +578,7 @@
         let Some(link) = self.links.get_mut(&node) else { return };
         let waiting = std::mem::take(&mut link.waiting);
         self.down(node);
-        waiting.into_iter().for_each(|id| self.give_up(id, Ending::Unreachable, false));
+        waiting.into_iter().for_each(|id| self.give_up(id, SetupOutcome::Unreachable, false));
     }
 
     /// Sets the line down, to be dialled again after a growing wait.
@@ -610,8 +611,8 @@
             let Some(s) = self.sess.get_mut(&id) else { continue };
             let (stage, sent) = (s.stage, s.attempt.as_ref().is_some_and(|a| a.sent));
             s.attempt = None;
-            let how = if sent { Ending::Broken } else { Ending::Unreachable };
-            self.ended(id, node, how, stage != Stage::Asked, LoadReport::default());
+            let outcome = if sent { SetupOutcome::ConnectionLost } else { SetupOutcome::Unreachable };
+            self.ended(id, node, outcome, stage != Stage::Asked, LoadReport::default());
             if stage != Stage::Asked {
                 self.tell_ended(id, EndedWhy::NodeLost);
                 self.over(id);
@@ -619,9 +620,9 @@
         }
     }
 
-    fn ended(&mut self, id: u64, node: u32, how: Ending, closed: bool, load: LoadReport) {
-        self.note(Some(id), format!("at node {node}: {how:?}"));
-        self.round.ended.push(Ended { sess: SessId(id), node: NodeId(node), how, closed, load });
+    fn ended(&mut self, id: u64, node: u32, outcome: SetupOutcome, closed: bool, load: LoadReport) {
+        self.note(Some(id), format!("at node {node}: {outcome:?}"));
+        self.round.ended.push(Ended { sess: SessId(id), node: NodeId(node), outcome, closed, load });
     }
 
     fn uri(&self, node: u32, title: &str) -> String {
@@ -640,7 +641,7 @@
         }
         if a.rules != rules {
             // Decided on rules that changed while it waited for its connection: decided anew.
-            return self.give_up(id, Ending::Moot, false);
+            return self.give_up(id, SetupOutcome::NeverSent, false);
         }
         (a.sent, a.link) = (true, link.number);
         let mut setup = vec![
@@ -675,17 +676,17 @@
     }
 
     /// Ends a SETUP that is out: it is taken back at once, so that a late success plays nowhere.
-    fn give_up(&mut self, id: u64, how: Ending, closed: bool) {
+    fn give_up(&mut self, id: u64, outcome: SetupOutcome, closed: bool) {
         let Some(a) = self.sess.get(&id).and_then(|s| s.attempt.clone()) else { return };
         self.tear_down(id);
         self.leave(id, &a);
-        let how = match how {
+        let outcome = match outcome {
             // What never went out never ran.
-            Ending::TimedOut if !a.sent => Ending::Unreachable,
-            Ending::Withdrawn if !a.sent => Ending::Moot,
-            how => how,
+            SetupOutcome::TimedOut if !a.sent => SetupOutcome::Unreachable,
+            SetupOutcome::Withdrawn if !a.sent => SetupOutcome::NeverSent,
+            outcome => outcome,
         };
-        self.ended(id, a.node, how, closed, LoadReport::default());
+        self.ended(id, a.node, outcome, closed, LoadReport::default());
     }
 
     /// The link holds the session no more.
@@ -714,9 +715,9 @@
         match asked {
             Asked::Options => {}
             Asked::Probe { told } => {
-                let how = if r.ok() { Ending::Served } else { Ending::Erred };
+                let outcome = if r.ok() { SetupOutcome::Served } else { SetupOutcome::Failed };
                 if told {
-                    self.round.probed.push((NodeId(node), how, load));
+                    self.round.probed.push((NodeId(node), outcome, load));
                 }
             }
             Asked::Setup { sess, pipe } => {
@@ -788,7 +789,7 @@
             *answered = was;
         }
         let (key, sock) = (s.key.clone(), s.sock);
-        self.round.readings.push(Reading::Rung { sess: SessId(id), rung: was });
+        self.round.measurements.push(Measurement::Rung { sess: SessId(id), rung: was });
         self.say(sock, ToPlayer::Rung { key, rung: was });
     }
 
@@ -796,12 +797,12 @@
     /// taken back before any other goes out.
     fn refused(&mut self, id: u64, turned_away: bool, load: LoadReport) {
         let Some(a) = self.sess.get(&id).and_then(|s| s.attempt.clone()) else { return };
-        let how = if turned_away { Ending::BusyReplied } else { Ending::Erred };
+        let outcome = if turned_away { SetupOutcome::BusyReplied } else { SetupOutcome::Failed };
         if !turned_away {
             self.tear_down(id);
         }
         self.leave(id, &a);
-        self.ended(id, a.node, how, false, load);
+        self.ended(id, a.node, outcome, false, load);
     }
 
     /// The session plays once SETUP and PLAY are both answered.
@@ -813,7 +814,7 @@
         }
         if self.now > s.deadline {
             // We stood still while the answer lay there; the viewer has given up.
-            return self.give_up(id, Ending::TimedOut, false);
+            return self.give_up(id, SetupOutcome::TimedOut, false);
         }
         let (node, took, rung, title) = (a.node, self.now - a.sent_at, s.rung, s.title_name.clone());
         let (uri, resume_for) = (self.uri(node, &title), self.book.players.resume_for);
@@ -832,10 +833,10 @@
     fn reading(&mut self, id: u64, node: u32, asked: AskedOf) {
         let (sess, node) = (SessId(id), NodeId(node));
         if let Some(asked) = asked.link {
-            self.round.readings.push(Reading::Link { sess, node, asked });
+            self.round.measurements.push(Measurement::Link { sess, node, asked });
         }
         if let Some(asked) = asked.uplink {
-            self.round.readings.push(Reading::Uplink { sess, node, asked });
+            self.round.measurements.push(Measurement::Uplink { sess, node, asked });
         }
     }
 
@@ -843,7 +844,7 @@
         let Some(s) = self.sess.get(&id).filter(|s| s.stage == Stage::Ending) else { return };
         let Some(a) = s.attempt.clone() else { return };
         self.leave(id, &a);
-        self.ended(id, node, Ending::Served, true, load);
+        self.ended(id, node, SetupOutcome::Served, true, load);
         self.over(id);
     }
 
@@ -868,7 +869,7 @@
             reasons::DELIVERY => {
                 let share = r.headers.read::<f64>(names::DELIVERED);
                 if let Some(share) = share.filter(|s| s.is_finite() && (0.0..=1.0).contains(s)) {
-                    self.round.readings.push(Reading::Delivered { node: NodeId(node), share });
+                    self.round.measurements.push(Measurement::Delivered { node: NodeId(node), share });
                 }
             }
             reasons::LOAD => {
@@ -880,7 +881,7 @@
                 if let Some(a) = self.sess.get(&id).and_then(|s| s.attempt.clone()) {
                     self.leave(id, &a);
                 }
-                self.ended(id, node, Ending::Served, true, load_of(&r.headers));
+                self.ended(id, node, SetupOutcome::Served, true, load_of(&r.headers));
                 self.tell_ended(id, EndedWhy::Finished);
                 self.over(id);
             }
@@ -922,7 +923,7 @@
         (self.book, self.label) = (book, label);
         self.rules += 1;
         let other = nodes.iter().zip(before).filter(|(n, was)| self.phase(n) != *was);
-        let other: Vec<Listed> = other.map(|(n, _)| self.listed(n)).collect();
+        let other: Vec<ListedNode> = other.map(|(n, _)| self.listed(n)).collect();
         if !other.is_empty() {
             let named: Vec<String> = other.iter().map(|l| format!("{} {:?}", l.node.0, l.phase)).collect();
             self.note(None, format!("the agreed list: {}", named.join(", ")));
@@ -931,9 +932,9 @@
         }
     }
 
-    fn listed(&self, n: &RosterNode) -> Listed {
+    fn listed(&self, n: &RosterNode) -> ListedNode {
         let f = &self.book.fleet;
-        Listed {
+        ListedNode {
             node: NodeId(n.id),
             zone: f.zones.iter().position(|z| *z == n.zone).unwrap_or(0) as u16,
             kind: f.kinds.keys().position(|k| *k == n.kind).unwrap_or(0) as u8,
@@ -1011,7 +1012,7 @@
             } else if let Some(link) = self.links.get_mut(&n.id) {
                 // What has not gone out to it yet must not go out any more.
                 let waiting = std::mem::take(&mut link.waiting);
-                waiting.into_iter().for_each(|id| self.give_up(id, Ending::Moot, false));
+                waiting.into_iter().for_each(|id| self.give_up(id, SetupOutcome::NeverSent, false));
             }
         }
     }
@@ -1037,7 +1038,7 @@
             Timer::SetupDue { sess, number } => {
                 let out = self.sess.get(&sess).filter(|s| s.stage == Stage::Asked);
                 if out.and_then(|s| s.attempt.as_ref()).is_some_and(|a| a.number == number) {
-                    self.give_up(sess, Ending::TimedOut, false);
+                    self.give_up(sess, SetupOutcome::TimedOut, false);
                 }
             }
             Timer::AnswerDue { sess } => {
@@ -1050,7 +1051,7 @@
                 }
                 match owed.map(|s| s.attempt.is_some()) {
                     None => {}
-                    Some(true) => self.give_up(sess, Ending::TimedOut, false),
+                    Some(true) => self.give_up(sess, SetupOutcome::TimedOut, false),
                     // Its ending is on the way to the decisions: they answer in this round.
                     Some(false) if self.round.ended.iter().any(|e| e.sess == SessId(sess)) => {
                         self.timers.set(self.now + LEAST_LEFT, Timer::AnswerDue { sess });
@@ -1161,7 +1162,7 @@
         if s.stage == Stage::Playing && !may {
             // Floors may have changed meanwhile: what plays stays as it is.
             let rung = s.rung;
-            return self.round.readings.push(Reading::Rung { sess, rung });
+            return self.round.measurements.push(Measurement::Rung { sess, rung });
         }
         let was = std::mem::replace(&mut s.rung, rung);
         if s.stage != Stage::Playing || was == rung {
@@ -1215,7 +1216,7 @@
             return self.barred(id);
         }
         let Some(link) = self.links.get_mut(&node.0) else {
-            return self.give_up(id, Ending::Unreachable, false);
+            return self.give_up(id, SetupOutcome::Unreachable, false);
         };
         link.sessions.insert(id);
         let up = link.line == Line::Up;
@@ -1232,7 +1233,7 @@
     fn withdraw(&mut self, sess: SessId, setup: u8) {
         let out = self.sess.get(&sess.0).filter(|s| s.stage == Stage::Asked);
         if out.and_then(|s| s.attempt.as_ref()).is_some_and(|a| a.number == setup) {
-            self.give_up(sess.0, Ending::Withdrawn, false);
+            self.give_up(sess.0, SetupOutcome::Withdrawn, false);
         }
     }
 
@@ -1252,7 +1253,7 @@
         let Some(a) = s.attempt.clone() else { return };
         self.tear_down(id);
         self.leave(id, &a);
-        self.ended(id, a.node, Ending::Withdrawn, true, LoadReport::default());
+        self.ended(id, a.node, SetupOutcome::Withdrawn, true, LoadReport::default());
         self.tell_ended(id, EndedWhy::Shifted);
         self.over(id);
     }
--- a/crates/kelpdoor-director/src/desk/seats.rs
+++ b/crates/kelpdoor-director/src/desk/seats.rs
@@ -5,7 +5,7 @@
 //! A seat goes with the latest request that shows its token: the one before it is ended.
 
 use kelpdoor::ids::SessId;
-use kelpdoor::round::Ending;
+use kelpdoor::round::SetupOutcome;
 use kelpdoor_api::{EndedWhy, ErrorCode, FailedWhy, FromPlayer, RequestKey, ToPlayer};
 use kelpdoor_seats::{self as seats, Holder, Out, RefusedWhy, School, TokenId};
 use kelpdoor_tokens::Entitlement;
@@ -198,7 +198,7 @@
             Stage::Asked => {
                 match (waiting, out) {
                     (true, _) => {}
-                    (false, true) => self.give_up(id, Ending::Withdrawn, true),
+                    (false, true) => self.give_up(id, SetupOutcome::Withdrawn, true),
                     (false, false) => self.round.departures.push(SessId(id)),
                 }
                 let why = match why {
--- a/crates/kelpdoor-platform/src/exchange.rs
+++ b/crates/kelpdoor-platform/src/exchange.rs
@@ -14,7 +14,9 @@
 use std::net::SocketAddr;
 
 use kelpdoor::ids::{GroupId, NodeId, SessId};
-use kelpdoor::round::{Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase, Playing, Reading};
+use kelpdoor::round::{
+    Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase, Playing, SetupOutcome,
+};
 use kelpdoor::{Director, Orders, Round};
 use kelpdoor_parts::{Due, Timers};
 use kelpdoor_rtsp::Message;
@@ -224,7 +226,7 @@
     name: String,
     address: SocketAddr,
     phase: Phase,
-    line: Listed,
+    line: ListedNode,
     links: BTreeSet<u64>,
     standing: BTreeSet<SessId>,
     doubted: BTreeSet<SessId>,
@@ -359,7 +361,7 @@
         h.now = h.now.max(now);
         while let Some(timer) = h.timers.pop(h.now) {
             match timer {
-                Timer::SetupDue { sess } => h.call_off(sess, Ending::TimedOut),
+                Timer::SetupDue { sess } => h.call_off(sess, SetupOutcome::TimedOut),
                 Timer::AnswerDue { sess } => h.answer_due(sess),
             }
         }
@@ -676,7 +678,7 @@
         if s.stage == Stage::Stands {
             let node = s.node;
             self.touch(conn);
-            self.end(sess, node, Ending::Withdrawn, LoadReport::default());
+            self.end(sess, node, SetupOutcome::Withdrawn, LoadReport::default());
             self.send_or_owe(node, Owed::Release(sess, cause::CLEARED));
         } else if s.conn == conn && !s.left {
             self.depart(sess);
@@ -693,7 +695,7 @@
             // Nothing is out, so nothing will say of it again.
             Stage::Asked => drop(self.forget(sess)),
             // Its connection may come up before the decisions hear of it, and may not cancel what is out.
-            Stage::Waiting => self.setup_over(sess, Ending::Moot, LoadReport::default()),
+            Stage::Waiting => self.setup_over(sess, SetupOutcome::NeverSent, LoadReport::default()),
             Stage::Out | Stage::Doubt | Stage::Stands => {}
         }
     }
@@ -762,7 +764,7 @@
     }
 
     /// A session that stood is over.
-    fn end(&mut self, sess: SessId, node: NodeId, how: Ending, load: LoadReport) {
+    fn end(&mut self, sess: SessId, node: NodeId, outcome: SetupOutcome, load: LoadReport) {
         let Some(s) = self.forget(sess) else { return };
         debug_assert!(s.stage == Stage::Stands, "only what stands ends so");
         self.standing -= 1;
@@ -772,11 +774,11 @@
         if let Some(n) = self.nodes.get_mut(&node) {
             n.standing.remove(&sess);
         }
-        self.round.ended.push(Ended { sess, node, how, closed: true, load });
+        self.round.ended.push(Ended { sess, node, outcome, closed: true, load });
     }
 
     /// A SETUP is over without a session; the decisions hear how, and say what becomes of it.
-    fn setup_over(&mut self, sess: SessId, how: Ending, load: LoadReport) {
+    fn setup_over(&mut self, sess: SessId, outcome: SetupOutcome, load: LoadReport) {
         let Some(s) = self.sess.get_mut(&sess) else { return };
         let (node, link, left) = (s.node, s.link, s.left);
         s.stage = Stage::Asked;
@@ -792,7 +794,7 @@
         if left {
             self.forget(sess);
         }
-        self.round.ended.push(Ended { sess, node, how, closed: left, load });
+        self.round.ended.push(Ended { sess, node, outcome, closed: left, load });
         self.rest(link);
     }
 
@@ -831,16 +833,20 @@
     }
 
     /// Gives up a SETUP: its node is told, and a late answer will be released.
-    fn call_off(&mut self, sess: SessId, how: Ending) {
+    fn call_off(&mut self, sess: SessId, outcome: SetupOutcome) {
         let Some(s) = self.sess.get(&sess) else { return };
         let (stage, node, link, sent) = (s.stage, s.node, s.link, s.sent);
         match stage {
             Stage::Asked | Stage::Stands => {}
-            Stage::Doubt => self.setup_lost(sess, how),
+            Stage::Doubt => self.setup_lost(sess, outcome),
             // It never left.
             Stage::Waiting => {
-                let how = if how == Ending::TimedOut { Ending::Unreachable } else { Ending::Moot };
-                self.setup_over(sess, how, LoadReport::default());
+                let outcome = if outcome == SetupOutcome::TimedOut {
+                    SetupOutcome::Unreachable
+                } else {
+                    SetupOutcome::NeverSent
+                };
+                self.setup_over(sess, outcome, LoadReport::default());
             }
             Stage::Out => {
                 self.effects.push(Effect::Node { link, bytes: media::give_up(sess) });
@@ -849,26 +855,26 @@
                 if let Some(l) = self.links.get_mut(&link) {
                     // A connection on which an answer stayed out may be of no use for the next one either.
                     l.tired = true;
-                    l.silent |= how == Ending::TimedOut && !spoke;
+                    l.silent |= outcome == SetupOutcome::TimedOut && !spoke;
                 }
-                self.setup_over(sess, how, LoadReport::default());
+                self.setup_over(sess, outcome, LoadReport::default());
             }
         }
     }
 
     /// A SETUP whose connection is lost: it may stand at its node, where it is released unless the process is gone.
-    fn setup_lost(&mut self, sess: SessId, how: Ending) {
+    fn setup_lost(&mut self, sess: SessId, outcome: SetupOutcome) {
         let Some(s) = self.sess.get(&sess) else { return };
         let (node, stage) = (s.node, s.stage);
         if stage == Stage::Waiting {
             // It never left.
-            return self.setup_over(sess, Ending::Unreachable, LoadReport::default());
+            return self.setup_over(sess, SetupOutcome::Unreachable, LoadReport::default());
         }
         self.remember_given_up(sess, node);
         if self.nodes.get(&node).is_some_and(|n| !n.pulse.refused()) {
             self.send_or_owe(node, Owed::Release(sess, cause::CLEARED));
         }
-        self.setup_over(sess, how, LoadReport::default());
+        self.setup_over(sess, outcome, LoadReport::default());
     }
 
     // Connections to nodes.
@@ -965,7 +971,7 @@
         if self.nodes.get(&node).is_some_and(|n| self.by_address.get(&n.address) != Some(&node)) {
             // While it was dialled its address became another node's, which is not the one that was meant.
             for sess in waiting {
-                self.setup_over(sess, Ending::Moot, LoadReport::default());
+                self.setup_over(sess, SetupOutcome::NeverSent, LoadReport::default());
             }
             return self.hang_up_link(link, true);
         }
@@ -982,7 +988,7 @@
         waiting.into_iter().for_each(|sess| self.send_setup(sess));
         owed.into_iter().for_each(|(_, owed)| self.send_owed(link, owed));
         // The node lives, so only the connection was lost: whether its SETUPs ran is not known.
-        doubted.into_iter().for_each(|sess| self.setup_lost(sess, Ending::Withdrawn));
+        doubted.into_iter().for_each(|sess| self.setup_lost(sess, SetupOutcome::Withdrawn));
     }
 
     fn remember_given_up(&mut self, sess: SessId, node: NodeId) {
@@ -999,7 +1005,7 @@
         if let Some(n) = self.nodes.get_mut(&l.node) {
             n.links.remove(&link);
         }
-        let ending = if how == Failed::Ours { Ending::Moot } else { Ending::Unreachable };
+        let ending = if how == Failed::Ours { SetupOutcome::NeverSent } else { SetupOutcome::Unreachable };
         l.out.into_iter().for_each(|sess| self.setup_over(sess, ending, LoadReport::default()));
         if how != Failed::Ours {
             self.unreached(l.node, how == Failed::Refused, why);
@@ -1019,7 +1025,7 @@
             // Whatever stood there went with its process.
             n.owed.clear();
         }
-        doubted.into_iter().for_each(|sess| self.setup_lost(sess, Ending::Broken));
+        doubted.into_iter().for_each(|sess| self.setup_lost(sess, SetupOutcome::ConnectionLost));
         if over {
             self.node_over(node);
         }
@@ -1049,11 +1055,11 @@
         for link in links {
             let Some(l) = self.links.remove(&link) else { continue };
             self.effects.push(Effect::HangUp { link, at_once: true });
-            l.out.into_iter().for_each(|sess| self.setup_lost(sess, Ending::Broken));
+            l.out.into_iter().for_each(|sess| self.setup_lost(sess, SetupOutcome::ConnectionLost));
         }
         for sess in standing {
             let Some(conn) = self.sess.get(&sess).map(|s| s.conn) else { continue };
-            self.end(sess, node, Ending::Broken, LoadReport::default());
+            self.end(sess, node, SetupOutcome::ConnectionLost, LoadReport::default());
             self.tell_over(sess, conn, cause::FAILED);
             if !gone {
                 // It may have been cut off only, and then they stand there yet.
@@ -1089,7 +1095,7 @@
         self.log(text);
         self.hang_up_link(link, false);
         self.ask_again(node);
-        out.into_iter().for_each(|sess| self.setup_lost(sess, Ending::Withdrawn));
+        out.into_iter().for_each(|sess| self.setup_lost(sess, SetupOutcome::Withdrawn));
     }
 
     /// Tries a connection to a node of which there is doubt.
@@ -1134,7 +1140,7 @@
                     self.end(sess, node, media::ended(cause, anew), load);
                     self.tell_over(sess, conn, cause);
                 } else if self.is_out(sess, link) {
-                    self.setup_over(sess, Ending::Broken, load);
+                    self.setup_over(sess, SetupOutcome::ConnectionLost, load);
                 }
             }
             media::Word::Note { sess, note } => {
@@ -1142,11 +1148,11 @@
                     if let (Note::Link(asked), Some(n)) = (note, self.nodes.get_mut(&node)) {
                         n.told = asked;
                     }
-                    self.round.readings.push(match note {
-                        Note::Delivered(share) => Reading::Delivered { node, share },
-                        Note::Rung(rung) => Reading::Rung { sess, rung },
-                        Note::Link(asked) => Reading::Link { sess, node, asked },
-                        Note::Uplink(asked) => Reading::Uplink { sess, node, asked },
+                    self.round.measurements.push(match note {
+                        Note::Delivered(share) => Measurement::Delivered { node, share },
+                        Note::Rung(rung) => Measurement::Rung { sess, rung },
+                        Note::Link(asked) => Measurement::Link { sess, node, asked },
+                        Note::Uplink(asked) => Measurement::Uplink { sess, node, asked },
                     });
                 }
             }
@@ -1179,7 +1185,7 @@
         if s.left {
             // Nobody waits for it any more.
             self.effects.push(Effect::Node { link, bytes: media::release(sess, cause::CLEARED) });
-            return self.setup_over(sess, Ending::Withdrawn, LoadReport::default());
+            return self.setup_over(sess, SetupOutcome::Withdrawn, LoadReport::default());
         }
         s.stage = Stage::Stands;
         let (conn, took, ask) = (s.conn, now - s.sent, s.ask.take());
@@ -1225,14 +1231,14 @@
         NodeId(n)
     }
 
-    fn listed(&mut self, host: &Host) -> Option<Listed> {
+    fn listed(&mut self, host: &Host) -> Option<ListedNode> {
         let known = self.ids.get(&host.id).copied();
         if known.is_none() && host.phase == Phase::Gone {
             return None;
         }
         let id = known.unwrap_or_else(|| self.number(&host.id));
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let line = Listed {
+        let line = ListedNode {
             node: id,
             zone: place(&self.named.zones, &host.zone).map_or(0, |i| i as u16),
             kind: place(&self.named.kinds, &host.kind).map_or(u8::MAX, |i| i as u8),
@@ -1268,7 +1274,7 @@
         Some(line)
     }
 
-    fn fold(&mut self, change: &Change) -> Vec<Listed> {
+    fn fold(&mut self, change: &Change) -> Vec<ListedNode> {
         if change.whole {
             let named: BTreeSet<&str> = change.hosts.iter().map(|h| h.id.as_str()).collect();
             for n in self.nodes.values_mut().filter(|n| !named.contains(n.name.as_str())) {
@@ -1292,7 +1298,9 @@
             for link in links {
                 let Some(l) = self.links.get_mut(&link).filter(|l| !l.up) else { continue };
                 let waiting = std::mem::take(&mut l.out);
-                waiting.into_iter().for_each(|s| self.setup_over(s, Ending::Moot, LoadReport::default()));
+                waiting
+                    .into_iter()
+                    .for_each(|s| self.setup_over(s, SetupOutcome::NeverSent, LoadReport::default()));
             }
         }
     }
@@ -1384,7 +1392,13 @@
         if !self.sess.contains_key(&sess) {
             // Nobody waits for it any more: the decisions are to count it out.
             let load = LoadReport::default();
-            return self.round.ended.push(Ended { sess, node, how: Ending::Moot, closed: true, load });
+            return self.round.ended.push(Ended {
+                sess,
+                node,
+                outcome: SetupOutcome::NeverSent,
+                closed: true,
+                load,
+            });
         }
         let link = self.link_for(node);
         let Some(s) = self.sess.get_mut(&sess) else { return };
@@ -1393,7 +1407,7 @@
         s.setup_due = Some(self.timers.set(s.until, Timer::SetupDue { sess }));
         let Some(link) = link else {
             // No descriptor is free for it: it never left.
-            return self.setup_over(sess, Ending::Moot, LoadReport::default());
+            return self.setup_over(sess, SetupOutcome::NeverSent, LoadReport::default());
         };
         (s.link, s.stage) = (link, Stage::Waiting);
         let Some(l) = self.links.get_mut(&link) else { return };
@@ -1405,7 +1419,7 @@
     }
 
     fn withdraw(&mut self, sess: SessId, _setup: u8) {
-        self.call_off(sess, Ending::Withdrawn);
+        self.call_off(sess, SetupOutcome::Withdrawn);
     }
 
     fn busy(&mut self, sess: SessId, come_back: Option<f64>) {
--- a/crates/kelpdoor-platform/src/media.rs
+++ b/crates/kelpdoor-platform/src/media.rs
@@ -2,7 +2,7 @@
 //! message proves stands here and nowhere else.
 
 use kelpdoor::ids::SessId;
-use kelpdoor::round::{Ending, LoadReport};
+use kelpdoor::round::{LoadReport, SetupOutcome};
 use kelpdoor_rtsp::{Headers, Message, Method, Request, Response, Version};
 use kelpdoor_terms::ReportFields;
 
@@ -29,7 +29,7 @@
     /// A refusal of a SETUP, by what it proves.
     Refused {
         sess: SessId,
-        how: Ending,
+        how: SetupOutcome,
         load: LoadReport,
     },
     /// The node released a session; `cseq` for the answer.
@@ -51,25 +51,25 @@
 ///
 /// 504 says that the SETUP broke on its way, and it may have run. It comes from a process that lives, on a connection that
 /// stands, so it is no sign of a death: it counts as a SETUP of which nothing more will be heard.
-pub fn ending(status: u16) -> Option<Ending> {
+pub fn ending(status: u16) -> Option<SetupOutcome> {
     match status {
         0..300 => None,
-        453 => Some(Ending::BusyReplied),
-        454 => Some(Ending::Moot),
-        504 => Some(Ending::Withdrawn),
+        453 => Some(SetupOutcome::BusyReplied),
+        454 => Some(SetupOutcome::NeverSent),
+        504 => Some(SetupOutcome::Withdrawn),
         // 500 and whatever else is a refusal: an error, after which it may have run.
-        _ => Some(Ending::Erred),
+        _ => Some(SetupOutcome::Failed),
     }
 }
 
 /// How a session that stood ended, by the cause of its node's release. One that was cut tells of the node's death only where
 /// the process may have changed since the session was set up (`anew`): a process that lives can cut one session.
-pub fn ended(why: u32, anew: bool) -> Ending {
+pub fn ended(why: u32, anew: bool) -> SetupOutcome {
     match why {
-        cause::CLEARED => Ending::Served,
-        cause::CANCELLED => Ending::Withdrawn,
-        _ if anew => Ending::Broken,
-        _ => Ending::Withdrawn,
+        cause::CLEARED => SetupOutcome::Served,
+        cause::CANCELLED => SetupOutcome::Withdrawn,
+        _ if anew => SetupOutcome::ConnectionLost,
+        _ => SetupOutcome::Withdrawn,
     }
 }
 
@@ -82,7 +82,7 @@
 }
 
 fn note(headers: &Headers) -> Option<Note> {
-    let value: f64 = headers.read("X-Reading").filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
+    let value: f64 = headers.read("X-Measurement").filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
     Some(match headers.get("X-Outcome")? {
         "fill" => Note::Delivered(value),
         "grade" => Note::Rung(value as u8),
--- a/crates/kelpdoor-platform/tests/codecs.rs
+++ b/crates/kelpdoor-platform/tests/codecs.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use expect_test::expect;
-use kelpdoor::round::Ending;
+use kelpdoor::round::SetupOutcome;
 use kelpdoor_platform::{Start, changes, media, viewer};
 use kelpdoor_rtsp::{Version, parse_as};
 use kelpdoor_terms::ReportFields;
@@ -125,10 +125,10 @@
     expect![[r#"
         Free
         Stands { sess: SessId(5), blob: Some(""), load: LoadReport { streams: None, link: None, uplink: None } }
-        Refused { sess: SessId(5), how: Erred, load: LoadReport { streams: None, link: None, uplink: None } }
+        Refused { sess: SessId(5), how: Failed, load: LoadReport { streams: None, link: None, uplink: None } }
         Refused { sess: SessId(5), how: BusyReplied, load: LoadReport { streams: Some(12.0), link: Some(0.4), uplink: None } }
-        Refused { sess: SessId(5), how: Moot, load: LoadReport { streams: None, link: None, uplink: None } }
-        Refused { sess: SessId(5), how: Erred, load: LoadReport { streams: None, link: None, uplink: None } }
+        Refused { sess: SessId(5), how: NeverSent, load: LoadReport { streams: None, link: None, uplink: None } }
+        Refused { sess: SessId(5), how: Failed, load: LoadReport { streams: None, link: None, uplink: None } }
         Refused { sess: SessId(5), how: Withdrawn, load: LoadReport { streams: None, link: None, uplink: None } }
         Free
         Free
@@ -143,11 +143,11 @@
     // A cut session tells of a death only where the process may be another.
     assert_eq!(
         [16, 31, 41].map(|why| media::ended(why, true)),
-        [Ending::Served, Ending::Withdrawn, Ending::Broken]
+        [SetupOutcome::Served, SetupOutcome::Withdrawn, SetupOutcome::ConnectionLost]
     );
     assert_eq!(
         [16, 31, 41].map(|why| media::ended(why, false)),
-        [Ending::Served, Ending::Withdrawn, Ending::Withdrawn]
+        [SetupOutcome::Served, SetupOutcome::Withdrawn, SetupOutcome::Withdrawn]
     );
 }
 
--- a/crates/kelpdoor/src/books.rs
+++ b/crates/kelpdoor/src/books.rs
@@ -4,7 +4,7 @@
 
 use crate::decide::Director;
 use crate::ids::{NodeId, SessId};
-use crate::round::{Listed, NewSession, Phase};
+use crate::round::{ListedNode, NewSession, Phase};
 use crate::state::{Nodes, Sess, Stage};
 
 impl Director {
@@ -70,7 +70,7 @@
     }
 
     /// Copies what a line of the list tells of a node that has an index.
-    pub(crate) fn copy_line(&mut self, i: usize, line: &Listed, new: bool) {
+    pub(crate) fn copy_line(&mut self, i: usize, line: &ListedNode, new: bool) {
         let l = self.link(i);
         let (n, f) = (&mut self.nodes, &self.figures);
         n.zone[i] = line.zone;
--- a/crates/kelpdoor/src/decide.rs
+++ b/crates/kelpdoor/src/decide.rs
@@ -22,7 +22,7 @@
 use crate::ids::{NodeId, SessId, TitleId};
 use crate::orders::Orders;
 use crate::round::{
-    Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase, Playing, Reading, Round,
+    Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase, Playing, Round, SetupOutcome,
 };
 use crate::state::{Actor, FEATURES, Ledger, Nodes, Sess, Stage, blend, track};
 use crate::terms::{Reach, Repeat, Terms};
@@ -168,8 +168,8 @@
         round.list_changes.iter().for_each(|change| self.list(now, change));
         round.handed_over.iter().for_each(|(ask, node)| self.adopt(now, ask, *node));
         round.playing.iter().for_each(|playing| self.plays(now, playing));
-        round.readings.iter().for_each(|reading| self.reading(now, reading));
-        round.probed.iter().for_each(|(node, how, load)| self.probed(now, *node, *how, load));
+        round.measurements.iter().for_each(|reading| self.reading(now, reading));
+        round.probed.iter().for_each(|(node, outcome, load)| self.probed(now, *node, *outcome, load));
         let owed: Vec<SessId> = round.ended.iter().filter_map(|e| self.ended(now, e, orders)).collect();
         round.departures.iter().for_each(|&sess| self.departs(sess, orders));
         owed.into_iter().for_each(|sess| self.place(now, sess, orders));
@@ -203,7 +203,7 @@
         self.reshare();
     }
 
-    fn line(&mut self, now: f64, line: &Listed, cached: bool) {
+    fn line(&mut self, now: f64, line: &ListedNode, cached: bool) {
         let known = self.nodes.index.get(&line.node).copied();
         if known.is_none() && line.phase == Phase::Gone {
             return;
@@ -352,10 +352,10 @@
         }
     }
 
-    fn reading(&mut self, now: f64, reading: &Reading) {
+    fn reading(&mut self, now: f64, reading: &Measurement) {
         match *reading {
-            Reading::Rung { sess, rung } => self.recount(now, sess, rung),
-            Reading::Link { sess, node, asked } | Reading::Uplink { sess, node, asked } => {
+            Measurement::Rung { sess, rung } => self.recount(now, sess, rung),
+            Measurement::Link { sess, node, asked } | Measurement::Uplink { sess, node, asked } => {
                 let Some(&i) = self.nodes.index.get(&node) else { return };
                 let since = match self.sess.get(&sess).map(|s| s.stage) {
                     Some(Stage::Playing { since }) => since,
@@ -364,7 +364,7 @@
                 let asked = asked.min(FULLEST);
                 let fresh = now - since + self.pause < FRESH_READING;
                 let then = if fresh { now } else { now - self.figures.seen_after - self.pause };
-                let uplink = matches!(reading, Reading::Uplink { .. });
+                let uplink = matches!(reading, Measurement::Uplink { .. });
                 let l = if uplink { self.rack(i) } else { self.link(i) };
                 self.ledger.read(l, asked, then, TRUST_READING);
                 if fresh {
@@ -375,13 +375,13 @@
                     self.noted(now, i);
                 }
             }
-            Reading::Delivered { node, share } => self.delivered(now, node, share),
+            Measurement::Delivered { node, share } => self.delivered(now, node, share),
         }
     }
 
-    fn probed(&mut self, now: f64, node: NodeId, how: Ending, load: &LoadReport) {
+    fn probed(&mut self, now: f64, node: NodeId, outcome: SetupOutcome, load: &LoadReport) {
         let Some(&i) = self.nodes.index.get(&node) else { return };
-        let tells = if how == Ending::Served { Self::heard } else { Self::failed };
+        let tells = if outcome == SetupOutcome::Served { Self::heard } else { Self::failed };
         tells(self, now, i);
         self.load_read(now, i, load);
     }
@@ -528,13 +528,13 @@
     fn ended(&mut self, now: f64, e: &Ended, orders: &mut impl Orders) -> Option<SessId> {
         let known = self.nodes.index.get(&e.node).copied();
         if let Some(i) = known {
-            match e.how {
-                Ending::Served => self.heard(now, i),
-                Ending::Erred | Ending::BusyReplied => {
+            match e.outcome {
+                SetupOutcome::Served => self.heard(now, i),
+                SetupOutcome::Failed | SetupOutcome::BusyReplied => {
                     // It lives but turns SETUPs away: left alone for longer each time until one plays again,
                     // for a node that fails fast looks empty and would draw every session.
                     self.heard(now, i);
-                    let (n, error) = (&mut self.nodes, e.how == Ending::Erred);
+                    let (n, error) = (&mut self.nodes, e.outcome == SetupOutcome::Failed);
                     let times = n.turned_away[i] - i32::from(error);
                     // A request that no node can use errs at each and would have all of them shunned: an
                     // error counts against a node from the second in a row, and only at its request's first
@@ -546,13 +546,13 @@
                     }
                     n.turned_away[i] += i32::from(!error || first_error);
                 }
-                Ending::Broken => {
+                SetupOutcome::ConnectionLost => {
                     // Its process died, so what the others had there is gone too.
                     self.failed(now, i);
                     self.emptied(now, i);
                 }
-                Ending::Unreachable => self.failed(now, i),
-                Ending::TimedOut => {
+                SetupOutcome::Unreachable => self.failed(now, i),
+                SetupOutcome::TimedOut => {
                     // A node that spoke since the SETUP was sent is not silent: only this answer was lost or
                     // late. Harm: one too slow for its set-ups, but not for its notes, gets more of them.
                     let sent = self.sess.get(&e.sess).map_or(now, |s| s.changed_at);
@@ -561,7 +561,7 @@
                         self.withdraw_all(i, e.sess, orders);
                     }
                 }
-                Ending::Withdrawn | Ending::Moot => {}
+                SetupOutcome::Withdrawn | SetupOutcome::NeverSent => {}
             }
             self.load_read(now, i, &e.load);
         }
@@ -569,7 +569,7 @@
         if s.stage == Stage::Owed {
             return None;
         }
-        if let (Stage::Playing { since }, Ending::Served) = (s.stage, e.how)
+        if let (Stage::Playing { since }, SetupOutcome::Served) = (s.stage, e.outcome)
             && since > f64::NEG_INFINITY
         {
             // What has been is the best guess of what a session still has before it.
@@ -583,7 +583,10 @@
         }
         s.stage = Stage::Owed;
         s.tried.push(e.node);
-        if !matches!(e.how, Ending::BusyReplied | Ending::Unreachable | Ending::Moot) && s.maybe_ran.is_none()
+        if !matches!(
+            e.outcome,
+            SetupOutcome::BusyReplied | SetupOutcome::Unreachable | SetupOutcome::NeverSent
+        ) && s.maybe_ran.is_none()
         {
             let i = s.node;
             s.maybe_ran = Some((self.nodes.zone[i], self.nodes.cell[i], s.changed_at));
--- a/crates/kelpdoor/src/round.rs
+++ b/crates/kelpdoor/src/round.rs
@@ -11,7 +11,7 @@
 
 /// A line of the list of media nodes.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct ListedNode {
     pub node: NodeId,
     pub zone: u16,
     pub kind: u8,
@@ -25,11 +25,11 @@
 #[derive(Clone, Debug)]
 pub enum ListChange {
     /// Only what changed.
-    Changed(Vec<Listed>),
+    Changed(Vec<ListedNode>),
     /// All of it, now.
-    Whole(Vec<Listed>),
+    Whole(Vec<ListedNode>),
     /// All of it as this director last had it.
-    Cached(Vec<Listed>),
+    Cached(Vec<ListedNode>),
     /// Asking failed; the old list holds.
     Unanswered,
 }
@@ -50,16 +50,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum SetupOutcome {
     Served,
-    Erred,
+    Failed,
     BusyReplied,
     TimedOut,
     Unreachable,
-    Broken,
+    ConnectionLost,
     Withdrawn,
     /// Never sent.
-    Moot,
+    NeverSent,
 }
 
 /// A node's load report.
@@ -75,7 +75,7 @@
 pub struct Ended {
     pub sess: SessId,
     pub node: NodeId,
-    pub how: Ending,
+    pub outcome: SetupOutcome,
     /// Nothing more is owed to the viewer.
     pub closed: bool,
     pub load: LoadReport,
@@ -91,7 +91,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub enum Reading {
+pub enum Measurement {
     /// Share of their rates that sessions at this node got a while ago.
     Delivered { node: NodeId, share: f64 },
     /// What is asked of the node's link over what it gives.
@@ -109,9 +109,9 @@
     /// Sessions under way at the director's start, each on its node.
     pub handed_over: Vec<(NewSession, NodeId)>,
     pub playing: Vec<Playing>,
-    pub readings: Vec<Reading>,
+    pub measurements: Vec<Measurement>,
     /// Nodes that answered a probe, or did not.
-    pub probed: Vec<(NodeId, Ending, LoadReport)>,
+    pub probed: Vec<(NodeId, SetupOutcome, LoadReport)>,
     pub ended: Vec<Ended>,
     /// Viewers who left; nothing more is owed to them.
     pub departures: Vec<SessId>,
--- a/crates/kelpdoor/tests/any_settings.rs
+++ b/crates/kelpdoor/tests/any_settings.rs
@@ -5,7 +5,9 @@
 
 use fastrand::Rng;
 use kelpdoor::ids::{GroupId, NodeId, SessId, TitleId};
-use kelpdoor::round::{Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase, Playing, Reading};
+use kelpdoor::round::{
+    Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase, Playing, SetupOutcome,
+};
 use kelpdoor::terms::{FurtherBudget, GroupTerms, Reach, Repeat, Terms};
 use kelpdoor::{Director, Orders, Round};
 
@@ -31,7 +33,7 @@
 struct Judge {
     now: f64,
     terms: Terms,
-    listed: BTreeMap<NodeId, Listed>,
+    listed: BTreeMap<NodeId, ListedNode>,
     held: BTreeMap<SessId, Held>,
     taken: Vec<f64>,
     further: Vec<f64>,
@@ -204,10 +206,10 @@
     }
 }
 
-fn line(rng: &mut Rng, n: u32, now: f64) -> Listed {
+fn line(rng: &mut Rng, n: u32, now: f64) -> ListedNode {
     let up_since = if rng.u8(0..8) == 0 { now - rng.f64() } else { 0.0 };
     let phase = [Phase::Ready, Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(0..5)];
-    Listed {
+    ListedNode {
         node: NodeId(n),
         zone: (n % 2) as u16,
         kind: 0,
@@ -219,7 +221,7 @@
 }
 
 /// Takes `lines` into the round and into what the judge knows to be told.
-fn list(round: &mut Round, judge: &mut Judge, lines: Vec<Listed>) {
+fn list(round: &mut Round, judge: &mut Judge, lines: Vec<ListedNode>) {
     lines.iter().for_each(|l| {
         judge.listed.insert(l.node, *l);
     });
@@ -240,30 +242,43 @@
         if let Some(node) = h.plays {
             match rng.u8(0..30) {
                 0 => {
-                    let how = if rng.bool() { Ending::Served } else { Ending::Broken };
-                    round.ended.push(Ended { sess, node, how, closed: true, load });
+                    let outcome =
+                        if rng.bool() { SetupOutcome::Served } else { SetupOutcome::ConnectionLost };
+                    round.ended.push(Ended { sess, node, outcome, closed: true, load });
                     judge.held.remove(&sess);
                 }
-                1..6 => round.readings.push(Reading::Link { sess, node, asked: rng.f64() * 1.5 }),
-                6..8 => round.readings.push(Reading::Uplink { sess, node, asked: rng.f64() * 1.5 }),
-                8..11 => round.readings.push(Reading::Delivered { node, share: rng.f64() }),
+                1..6 => round.measurements.push(Measurement::Link { sess, node, asked: rng.f64() * 1.5 }),
+                6..8 => round.measurements.push(Measurement::Uplink { sess, node, asked: rng.f64() * 1.5 }),
+                8..11 => round.measurements.push(Measurement::Delivered { node, share: rng.f64() }),
                 _ => {}
             }
             continue;
         }
         let Some((node, until)) = h.out else { continue };
         if now >= until {
-            let how = if until < h.due { Ending::Withdrawn } else { Ending::TimedOut };
+            let outcome = if until < h.due { SetupOutcome::Withdrawn } else { SetupOutcome::TimedOut };
             judge.ended(sess, false);
-            round.ended.push(Ended { sess, node, how, closed: false, load });
+            round.ended.push(Ended { sess, node, outcome, closed: false, load });
         } else if rng.u8(0..6) == 0 {
             (h.out, h.plays) = (None, Some(node));
             round.playing.push(Playing { sess, node, took: now - h.sent });
         } else if rng.u8(0..6) == 0 {
-            let how = [Ending::BusyReplied, Ending::Unreachable, Ending::Moot, Ending::Erred, Ending::Broken];
-            let how = how[rng.usize(0..5)];
-            judge.ended(sess, matches!(how, Ending::BusyReplied | Ending::Unreachable | Ending::Moot));
-            round.ended.push(Ended { sess, node, how, closed: false, load });
+            let outcome = [
+                SetupOutcome::BusyReplied,
+                SetupOutcome::Unreachable,
+                SetupOutcome::NeverSent,
+                SetupOutcome::Failed,
+                SetupOutcome::ConnectionLost,
+            ];
+            let outcome = outcome[rng.usize(0..5)];
+            judge.ended(
+                sess,
+                matches!(
+                    outcome,
+                    SetupOutcome::BusyReplied | SetupOutcome::Unreachable | SetupOutcome::NeverSent
+                ),
+            );
+            round.ended.push(Ended { sess, node, outcome, closed: false, load });
         }
     }
 }
@@ -290,8 +305,8 @@
         judge.now += rng.f64() * APART;
         let (now, mut round) = (judge.now, Round::default());
         if k == 0 {
-            let lines: Vec<Listed> =
-                (0..NODES).map(|n| Listed { phase: Phase::Ready, ..line(&mut rng, n, now) }).collect();
+            let lines: Vec<ListedNode> =
+                (0..NODES).map(|n| ListedNode { phase: Phase::Ready, ..line(&mut rng, n, now) }).collect();
             judge.listed = lines.iter().map(|l| (l.node, *l)).collect();
             round.list_changes.push(ListChange::Cached(lines));
         } else if rng.u8(0..60) == 0 {
--- a/crates/kelpdoor/tests/cold_fleet.rs
+++ b/crates/kelpdoor/tests/cold_fleet.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use helper::terms;
 use kelpdoor::ids::{NodeId, SessId};
-use kelpdoor::round::{Ended, Ending, ListChange, Listed, LoadReport, Phase, Playing};
+use kelpdoor::round::{Ended, ListChange, ListedNode, LoadReport, Phase, Playing, SetupOutcome};
 use kelpdoor::terms::Terms;
 use kelpdoor::{Director, Orders, Round};
 
@@ -71,9 +71,9 @@
     fn wake(&mut self, _: f64) {}
 }
 
-fn line(node: u32, up_since: f64) -> Listed {
+fn line(node: u32, up_since: f64) -> ListedNode {
     let phase = Phase::Ready;
-    Listed { node: NodeId(node), zone: 0, kind: 0, cell: node as u16, phase, size: 1.0, up_since }
+    ListedNode { node: NodeId(node), zone: 0, kind: 0, cell: node as u16, phase, size: 1.0, up_since }
 }
 
 /// What comes back to a director: by when (in ticks), whose, what.
@@ -133,11 +133,11 @@
                 standing.iter().filter(|(_, s)| s.1 < case.cold).map(|(&id, _)| id).collect();
             for id in gone {
                 let Some((d, node)) = standing.remove(&id) else { continue };
-                let (sess, node, how) = (SessId(id), NodeId(node), Ending::Broken);
+                let (sess, node, outcome) = (SessId(id), NodeId(node), SetupOutcome::ConnectionLost);
                 rounds[d as usize].ended.push(Ended {
                     sess,
                     node,
-                    how,
+                    outcome,
                     closed: true,
                     load: LoadReport::default(),
                 });
@@ -172,8 +172,8 @@
                 round.playing.push(Playing { sess, node: at, took: SET_UP });
                 back.push(std::cmp::Reverse((tick + (LIFE / TICK) as u64, d, id, node, true)));
             } else if standing.remove(&id).is_some() {
-                let (how, load) = (Ending::Served, LoadReport::default());
-                round.ended.push(Ended { sess, node: at, how, closed: true, load });
+                let (outcome, load) = (SetupOutcome::Served, LoadReport::default());
+                round.ended.push(Ended { sess, node: at, outcome, closed: true, load });
             }
         }
         for d in 0..case.directors {
--- a/crates/kelpdoor/tests/helper/mod.rs
+++ b/crates/kelpdoor/tests/helper/mod.rs
@@ -5,7 +5,9 @@
 use std::fmt::Write;
 
 use kelpdoor::ids::{GroupId, NodeId, SessId, TitleId};
-use kelpdoor::round::{Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase, Playing, Reading};
+use kelpdoor::round::{
+    Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase, Playing, SetupOutcome,
+};
 use kelpdoor::terms::{GroupTerms, Repeat, Terms};
 use kelpdoor::{Director, Orders, Round};
 
@@ -116,8 +118,8 @@
     }
 }
 
-pub fn line(node: u32, phase: Phase, up_since: f64) -> Listed {
-    Listed { node: NodeId(node), zone: 0, kind: 0, cell: node as u16, phase, size: 1.0, up_since }
+pub fn line(node: u32, phase: Phase, up_since: f64) -> ListedNode {
+    ListedNode { node: NodeId(node), zone: 0, kind: 0, cell: node as u16, phase, size: 1.0, up_since }
 }
 
 /// A viewer of a title that lies on the first `cells` nodes.
@@ -165,7 +167,7 @@
     pub fn hand_over(&mut self, sess: u64, node: u32, rung: u8) {
         self.round(|r| {
             r.handed_over.push((viewer(sess, 6), NodeId(node)));
-            r.readings.push(Reading::Rung { sess: SessId(sess), rung });
+            r.measurements.push(Measurement::Rung { sess: SessId(sess), rung });
         });
     }
 
@@ -174,15 +176,15 @@
     }
 
     /// The SETUP of a session ended in that way, at the node it was sent to last.
-    pub fn ends(&mut self, sess: u64, how: Ending) {
+    pub fn ends(&mut self, sess: u64, outcome: SetupOutcome) {
         let node = self.trace.sent.iter().rev().find(|s| s.0 == SessId(sess)).expect("was sent").1;
-        self.ends_at(sess, node.0, how, None);
+        self.ends_at(sess, node.0, outcome, None);
     }
 
-    pub fn ends_at(&mut self, sess: u64, node: u32, how: Ending, streams: Option<f64>) {
+    pub fn ends_at(&mut self, sess: u64, node: u32, outcome: SetupOutcome, streams: Option<f64>) {
         let (sess, node) = (SessId(sess), NodeId(node));
         let load = LoadReport { streams, ..LoadReport::default() };
-        self.round(|r| r.ended.push(Ended { sess, node, how, closed: false, load }));
+        self.round(|r| r.ended.push(Ended { sess, node, outcome, closed: false, load }));
     }
 
     pub fn plays(&mut self, sess: u64) {
@@ -191,10 +193,12 @@
     }
 
     pub fn full(&mut self, sess: u64, node: u32, asked: f64) {
-        self.round(|r| r.readings.push(Reading::Link { sess: SessId(sess), node: NodeId(node), asked }));
+        self.round(|r| {
+            r.measurements.push(Measurement::Link { sess: SessId(sess), node: NodeId(node), asked })
+        });
     }
 
     pub fn delivered(&mut self, node: u32, share: f64) {
-        self.round(|r| r.readings.push(Reading::Delivered { node: NodeId(node), share }));
+        self.round(|r| r.measurements.push(Measurement::Delivered { node: NodeId(node), share }));
     }
 }
--- a/crates/kelpdoor/tests/traces.rs
+++ b/crates/kelpdoor/tests/traces.rs
@@ -6,7 +6,7 @@
 use helper::{Desk, line, terms, viewer};
 use kelpdoor::Director;
 use kelpdoor::ids::{NodeId, SessId};
-use kelpdoor::round::{Ended, Ending, ListChange, LoadReport, Phase, Playing, Reading};
+use kelpdoor::round::{Ended, ListChange, LoadReport, Measurement, Phase, Playing, SetupOutcome};
 use kelpdoor::terms::{FurtherBudget, GroupTerms, Reach, Repeat, Terms};
 
 fn check(desk: &Desk, kept: Expect) {
@@ -16,7 +16,7 @@
 /// A session that played at node 0 and came to its end.
 fn played(sess: u64) -> Ended {
     let load = LoadReport::default();
-    Ended { sess: SessId(sess), node: NodeId(0), how: Ending::Served, closed: true, load }
+    Ended { sess: SessId(sess), node: NodeId(0), outcome: SetupOutcome::Served, closed: true, load }
 }
 
 fn with_group(change: impl FnOnce(&mut GroupTerms)) -> Terms {
@@ -235,8 +235,8 @@
 fn an_unsafe_group_is_sent_again_only_after_proof() {
     let mut desk = Desk::new(&with_group(|g| g.repeat = Repeat::Never));
     desk.asks(1, 6);
-    desk.ends(1, Ending::Unreachable);
-    desk.ends(1, Ending::TimedOut);
+    desk.ends(1, SetupOutcome::Unreachable);
+    desk.ends(1, SetupOutcome::TimedOut);
     check(
         &desk,
         expect![[r#"
@@ -253,7 +253,7 @@
 fn a_keyed_group_stays_in_reach_of_its_first_node() {
     let mut desk = Desk::new(&with_group(|g| g.repeat = Repeat::Within(Reach::Cell)));
     desk.asks(1, 6);
-    desk.ends(1, Ending::Broken);
+    desk.ends(1, SetupOutcome::ConnectionLost);
     check(
         &desk,
         expect![[r#"
@@ -271,7 +271,7 @@
     let mut desk = Desk::new(&terms);
     for sess in 1..=3 {
         desk.asks(sess, 6);
-        desk.ends(sess, Ending::Erred);
+        desk.ends(sess, SetupOutcome::Failed);
     }
     check(
         &desk,
@@ -318,7 +318,7 @@
         } else {
             desk.asks(1, 1);
             desk.plays(1);
-            desk.ends(1, Ending::Broken);
+            desk.ends(1, SetupOutcome::ConnectionLost);
         }
         for sess in 10.. {
             desk.run_to(desk.now + 0.1);
@@ -330,7 +330,7 @@
             if desk.trace.sent.len() > before {
                 sent[(desk.now - 100.0) as usize] += 1;
                 desk.plays(sess);
-                desk.ends(sess, Ending::Served);
+                desk.ends(sess, SetupOutcome::Served);
             }
         }
     }
@@ -430,7 +430,7 @@
     let mut desk = Desk::new(&terms());
     desk.hand_over(1, 0, 0);
     desk.full(1, 0, 1.8);
-    desk.ends_at(1, 0, Ending::Served, Some(40.0));
+    desk.ends_at(1, 0, SetupOutcome::Served, Some(40.0));
     desk.asks(2, 1);
     desk.run_to(150.0);
     desk.asks(3, 1);
@@ -471,7 +471,7 @@
         let before = desk.trace.sent.len();
         desk.asks(sess, 1);
         if desk.trace.sent.len() > before {
-            desk.ends(sess, Ending::Erred);
+            desk.ends(sess, SetupOutcome::Failed);
         }
         desk.run_to(desk.now + 0.5);
     }
@@ -492,7 +492,7 @@
         if speaks {
             desk.full(9, 0, 0.3);
         }
-        desk.ends(1, Ending::TimedOut);
+        desk.ends(1, SetupOutcome::TimedOut);
         let sent = desk.trace.sent.len();
         desk.run_to(100.5);
         desk.asks(2, 1);
@@ -505,7 +505,7 @@
     let mut desk = Desk::new(&terms());
     // Three nodes hold the title; the request errs at each, and the next ones go there all the same.
     desk.asks(1, 3);
-    (0..3).for_each(|_| desk.ends(1, Ending::Erred));
+    (0..3).for_each(|_| desk.ends(1, SetupOutcome::Failed));
     assert_eq!(desk.trace.sent.len(), 3, "it is tried at each");
     let sent = desk.trace.sent.len();
     (11..=13).for_each(|sess| desk.asks(sess, 3));
@@ -513,7 +513,7 @@
     // Its later errors are not even the first of two: node 0 errs once more and is still asked.
     assert_ne!(desk.trace.sent[0].1, NodeId(0));
     desk.asks(21, 1);
-    desk.ends(21, Ending::Erred);
+    desk.ends(21, SetupOutcome::Failed);
     desk.asks(22, 1);
     let last = desk.trace.sent.last().map(|(sess, node)| (sess.0, node.0));
     assert_eq!(last, Some((22, 0)), "{}", desk.trace.text);
@@ -565,7 +565,7 @@
     let mut desk = Desk::new(&terms());
     desk.asks(1, 1);
     desk.asks(2, 1);
-    desk.ends(1, Ending::TimedOut);
+    desk.ends(1, SetupOutcome::TimedOut);
     check(
         &desk,
         expect![[r#"
@@ -627,11 +627,11 @@
 fn each_session_gets_one_answer_in_time_and_late_endings_are_passed_over() {
     let mut desk = Desk::new(&terms());
     desk.asks(1, 6);
-    desk.ends(1, Ending::Erred);
-    desk.ends(1, Ending::Erred);
+    desk.ends(1, SetupOutcome::Failed);
+    desk.ends(1, SetupOutcome::Failed);
     desk.run_to(104.0);
-    desk.ends(1, Ending::TimedOut);
-    desk.ends(1, Ending::Erred);
+    desk.ends(1, SetupOutcome::TimedOut);
+    desk.ends(1, SetupOutcome::Failed);
     desk.round(|r| r.departures.push(viewer(1, 6).sess));
     check(
         &desk,
@@ -752,10 +752,10 @@
         desk.asks(1, 1);
         desk.now += pause;
         let playing = Playing { sess: viewer(1, 1).sess, node: NodeId(0), took: 0.05 };
-        let read = Reading::Link { sess: playing.sess, node: NodeId(0), asked: 0.15 };
+        let read = Measurement::Link { sess: playing.sess, node: NodeId(0), asked: 0.15 };
         desk.round(|r| {
             r.playing.push(playing);
-            r.readings.push(read);
+            r.measurements.push(read);
         });
         desk.run_to(desk.now + 0.6);
         desk.trace.text
@@ -812,7 +812,7 @@
                 if desk.trace.sent.len() > before {
                     sent.push(desk.now);
                     desk.plays(sess);
-                    desk.ends(sess, Ending::Served);
+                    desk.ends(sess, SetupOutcome::Served);
                 }
             }
         }
