--- a/crates/kelpdoor-director/src/desk.rs
+++ b/crates/kelpdoor-director/src/desk.rs
@@ -163,7 +163,7 @@
             Input::Cached(list) => h.cached(list),
             Input::Rules { book, label } => {
                 h.rules(*book, label);
-                self.director.go_by(&h.book.terms());
+                self.director.update_terms(&h.book.terms());
             }
             Input::Lease { until } => h.lease = Some(until),
             Input::Unsent { node, link, name } => h.unsent(node, link, name),
--- a/crates/kelpdoor/src/decide.rs
+++ b/crates/kelpdoor/src/decide.rs
@@ -157,7 +157,7 @@
 
     /// Goes by other terms from now on. Groups, rungs, racks and spans are those of before: what stands is
     /// counted by them.
-    pub fn go_by(&mut self, terms: &Terms) {
+    pub fn update_terms(&mut self, terms: &Terms) {
         self.figures = Figures::new(terms);
     }
 
