--- a/crates/kelpdoor/src/books.rs
+++ b/crates/kelpdoor/src/accounting.rs
@@ -23,22 +23,22 @@
 
     pub(crate) fn new_node(&mut self, id: NodeId) -> usize {
         let i = self.nodes.add(id);
-        self.nodes.gap_mean[i] = self.figures.told_every;
-        self.ledger.clear(self.link(i), self.figures.link_unit);
+        self.nodes.gap_mean[i] = self.terms.told_every;
+        self.ledger.clear(self.link(i), self.terms.link_unit);
         i
     }
 
     pub(crate) fn rack(&self, i: usize) -> usize {
-        self.nodes.cell[i] as usize % self.figures.racks
+        self.nodes.cell[i] as usize % self.terms.racks
     }
 
     pub(crate) fn link(&self, i: usize) -> usize {
-        self.figures.racks + 1 + i
+        self.terms.racks + 1 + i
     }
 
     /// Where the ledger counts the fleet as a whole.
     pub(crate) fn fleet(&self) -> usize {
-        self.figures.racks
+        self.terms.racks
     }
 
     /// Whether sessions of ours are at a node, SETUPs included.
@@ -61,7 +61,7 @@
     pub(crate) fn relist(&mut self) {
         let Nodes { index, phase, .. } = &self.nodes;
         let listed: Vec<usize> = index.values().copied().filter(|&i| phase[i] != Phase::Gone).collect();
-        let mut by_rack = vec![Vec::new(); self.figures.racks];
+        let mut by_rack = vec![Vec::new(); self.terms.racks];
         listed.iter().for_each(|&i| by_rack[self.rack(i)].push(i));
         self.nodes.size_sum = listed.iter().map(|&i| self.nodes.size[i]).sum();
         let fleet = self.fleet();
@@ -72,7 +72,7 @@
     /// Copies what a line of the list tells of a node that has an index.
     pub(crate) fn copy_line(&mut self, i: usize, line: &ListedNode, new: bool) {
         let l = self.link(i);
-        let (n, f) = (&mut self.nodes, &self.figures);
+        let (n, f) = (&mut self.nodes, &self.terms);
         n.zone[i] = line.zone;
         n.cell[i] = line.cell;
         n.size[i] = line.size.max(1e-3);
@@ -103,18 +103,18 @@
 
     /// How full links, or uplinks, were of late as far as we read them.
     pub(crate) fn common(&self, l: usize) -> f64 {
-        self.common[usize::from(l < self.figures.racks)]
+        self.common[usize::from(l < self.terms.racks)]
     }
 
     /// Takes in a session that was under way at our start.
     pub(crate) fn adopt(&mut self, now: f64, ask: &NewSession, node: NodeId) {
         let i = self.nodes.index.get(&node).copied().unwrap_or_else(|| self.new_node(node));
-        let mut sess = Sess::new(ask, now, self.figures.groups[ask.group.0 as usize].floor, 0.0);
+        let mut sess = Sess::new(ask, now, self.terms.groups[ask.group.0 as usize].floor, 0.0);
         (sess.stage, sess.node) = (Stage::Playing { since: f64::NEG_INFINITY }, i);
         sess.changed_at = f64::NEG_INFINITY;
         self.sess.insert(ask.sess, sess);
         self.hold(now, ask.sess);
-        self.nodes.noted_at[i] = now + self.figures.seen_after;
+        self.nodes.noted_at[i] = now + self.terms.seen_after;
     }
 
     /// Whether another viewer of ours has that title at a node, in that group and at that rung, whose stream is shared.
@@ -125,7 +125,7 @@
     /// Counts a session's stream in at its node; what it adds.
     fn enter(&mut self, sess: SessId) -> f64 {
         let s = &self.sess[&sess];
-        let (i, rung, group) = (s.node, s.rung, &self.figures.groups[s.ask.group.0 as usize]);
+        let (i, rung, group) = (s.node, s.rung, &self.terms.groups[s.ask.group.0 as usize]);
         let kb = group.kb[rung as usize];
         let joins = self.joins(i, &s.ask, rung);
         if group.join < 1.0 {
@@ -138,7 +138,7 @@
     /// Counts a session's stream out again; what it took, which is its viewer's part while others share it.
     fn leave(&mut self, sess: SessId) -> f64 {
         let s = &self.sess[&sess];
-        let (i, group) = (s.node, &self.figures.groups[s.ask.group.0 as usize]);
+        let (i, group) = (s.node, &self.terms.groups[s.ask.group.0 as usize]);
         let kb = group.kb[s.rung as usize];
         let key = (i, s.ask.title, s.ask.group.0, s.rung);
         if let Some(viewers) = self.shared.get_mut(&key).filter(|v| **v > 1) {
@@ -189,7 +189,7 @@
             return;
         };
         let before = self.leave(sess);
-        let rungs = self.figures.groups[g.0 as usize].kb.len();
+        let rungs = self.terms.groups[g.0 as usize].kb.len();
         if let Some(s) = self.sess.get_mut(&sess) {
             s.rung = rung.min(rungs as u8 - 1);
         }
--- a/crates/kelpdoor/src/decide.rs
+++ b/crates/kelpdoor/src/decide.rs
@@ -18,7 +18,7 @@
 
 use fastrand::Rng;
 
-use crate::figures::Figures;
+use crate::derived_terms::DerivedTerms;
 use crate::ids::{NodeId, SessId, TitleId};
 use crate::orders::Orders;
 use crate::round::{
@@ -84,7 +84,7 @@
 type Steps = Vec<(SessId, u8)>;
 
 pub struct Director {
-    pub(crate) figures: Figures,
+    pub(crate) terms: DerivedTerms,
     rng: Rng,
     pub(crate) nodes: Nodes,
     pub(crate) ledger: Ledger,
@@ -118,18 +118,18 @@
 
 impl Director {
     pub fn new(terms: &Terms, seed: u64, now: f64) -> Self {
-        let figures = Figures::new(terms);
+        let terms = DerivedTerms::new(terms);
         let mut ledger = Ledger { keep: DRIFT, ..Ledger::default() };
-        for r in 0..=figures.racks {
-            ledger.clear(r, if figures.rack_uplink > 0.0 { figures.rack_uplink } else { f64::MAX / 4.0 });
+        for r in 0..=terms.racks {
+            ledger.clear(r, if terms.rack_uplink > 0.0 { terms.rack_uplink } else { f64::MAX / 4.0 });
         }
-        if !figures.uplinks_told {
+        if !terms.uplinks_told {
             // Nothing is told of uplinks: each counts as wide until delivery falls short.
             ledger.size.iter_mut().for_each(|size| *size *= SIZE_RANGE.1);
         }
-        let nodes = Nodes { by_rack: vec![Vec::new(); figures.racks], ..Nodes::default() };
+        let nodes = Nodes { by_rack: vec![Vec::new(); terms.racks], ..Nodes::default() };
         Director {
-            figures,
+            terms,
             rng: Rng::with_seed(seed),
             nodes,
             ledger,
@@ -158,7 +158,7 @@
     /// Goes by other terms from now on. Groups, rungs, racks and spans are those of before: what stands is
     /// counted by them.
     pub fn update_terms(&mut self, terms: &Terms) {
-        self.figures = Figures::new(terms);
+        self.terms = DerivedTerms::new(terms);
     }
 
     pub fn round(&mut self, now: f64, round: &Round, orders: &mut impl Orders) {
@@ -210,7 +210,7 @@
         }
         let i = known.unwrap_or_else(|| self.new_node(line.node));
         self.copy_line(i, line, known.is_none());
-        let (n, f) = (&mut self.nodes, &self.figures);
+        let (n, f) = (&mut self.nodes, &self.terms);
         // Listed again with the old start, it never stopped: only the list had lost it.
         let back = n.phase[i] == Phase::Gone && line.phase == Phase::Ready && line.up_since == 0.0;
         n.phase[i] = line.phase;
@@ -261,14 +261,14 @@
     /// What all others would have on a link, going by ours: one of them as much as we, for titles draw us all
     /// to the same nodes, each of the rest our mean over the fleet, as with many each holds little anywhere.
     pub(crate) fn by_others(&self, l: usize, here: f64, fleet: f64) -> f64 {
-        let others = self.figures.directors - 1.0;
+        let others = self.terms.directors - 1.0;
         let mean = fleet * self.ledger.size[l] / self.ledger.size[self.fleet()].max(1e-9);
         here * others.min(1.0) + mean * (others - 1.0).max(0.0)
     }
 
     /// How warm a node is thought to be, as a part of its capacity.
     pub(crate) fn warmth(&self, now: f64, i: usize) -> f64 {
-        let f = &self.figures;
+        let f = &self.terms;
         if now >= self.nodes.cold_until[i] {
             return 1.0;
         }
@@ -278,7 +278,7 @@
 
     /// What is asked of a link or uplink by our account.
     pub(crate) fn asked(&self, l: usize) -> f64 {
-        let f = &self.figures;
+        let f = &self.terms;
         if l < f.racks && !f.uplinks_told {
             // No figure of its own: its nodes', those never read taken to be as full as the rest.
             let (mut asked, mut read, mut all) = (0.0, 0.0, 0.0);
@@ -302,7 +302,7 @@
     /// kB a second left under `fill` of a link, less for an old reading, and for what we added since it: in a
     /// crowd the others add as much in the same moment.
     fn left_under(&self, now: f64, l: usize, fill: f64, warmth: f64) -> f64 {
-        let (f, then) = (&self.figures, self.ledger.read_at[l]);
+        let (f, then) = (&self.terms, self.ledger.read_at[l]);
         if l < f.racks && !f.uplinks_told {
             return fill * self.ledger.size[l] - self.asked(l);
         }
@@ -324,7 +324,7 @@
 
     /// Of a link and an uplink, what set-ups fill; a link only to where its node would reply busy.
     fn fill(&self) -> (f64, f64) {
-        (FILL.min(self.figures.refuses_from), FILL)
+        (FILL.min(self.terms.refuses_from), FILL)
     }
 
     fn load_read(&mut self, now: f64, i: usize, load: &LoadReport) {
@@ -363,7 +363,7 @@
                 };
                 let asked = asked.min(FULLEST);
                 let fresh = now - since + self.pause < FRESH_READING;
-                let then = if fresh { now } else { now - self.figures.seen_after - self.pause };
+                let then = if fresh { now } else { now - self.terms.seen_after - self.pause };
                 let uplink = matches!(reading, Measurement::Uplink { .. });
                 let l = if uplink { self.rack(i) } else { self.link(i) };
                 self.ledger.read(l, asked, then, TRUST_READING);
@@ -390,7 +390,7 @@
     fn delivered(&mut self, now: f64, node: NodeId, share: f64) {
         let share = share.max(1.0 / FULLEST);
         let Some(&i) = self.nodes.index.get(&node) else { return };
-        let (l, r, then) = (self.link(i), self.rack(i), now - self.figures.seen_after - self.pause);
+        let (l, r, then) = (self.link(i), self.rack(i), now - self.terms.seen_after - self.pause);
         let short = share < SHORT;
         if short && self.nodes.delivered[i] >= SHORT {
             self.nodes.shortages[i] += 1.0;
@@ -406,7 +406,7 @@
         if then < self.ledger.eased_at[l].max(self.ledger.eased_at[r]) + SETTLE {
             return;
         }
-        if self.figures.uplinks_told {
+        if self.terms.uplinks_told {
             let uplink = self.asked(r) / self.ledger.size[r];
             let worst = if uplink > full { r } else { l };
             if full.max(uplink) * share < 1.0 {
@@ -450,7 +450,7 @@
     }
 
     fn heard(&mut self, now: f64, i: usize) {
-        let warm_within = self.figures.warm_within;
+        let warm_within = self.terms.warm_within;
         let n = &mut self.nodes;
         n.strikes[i] = 0;
         n.heard_at[i] = now;
@@ -478,7 +478,7 @@
     /// in which the whole fleet is silent does not count: then the notes are late, not the nodes.
     fn silent(&self, now: f64, i: usize) -> bool {
         let n = &self.nodes;
-        if self.figures.told_every == 0.0 {
+        if self.terms.told_every == 0.0 {
             return false;
         }
         let silence = now.min(self.fleet_noted + BEAT_SPREAD) - n.noted_at[i];
@@ -499,7 +499,7 @@
 
     fn take(&mut self, now: f64, ask: &NewSession, orders: &mut impl Orders) {
         self.taken.push_back(now);
-        let group = &self.figures.groups[ask.group.0 as usize];
+        let group = &self.terms.groups[ask.group.0 as usize];
         let sess = Sess::new(ask, now, group.floor, group.start_target);
         self.sess.insert(ask.sess, sess);
         self.place(now, ask.sess, orders);
@@ -516,7 +516,7 @@
         let starts = &mut self.nodes.starts[i];
         *starts = (starts.0 + p.took, starts.1 + 1.0);
         if self.nodes.streams[i] <= 1.0 || self.nodes.noted_at[i] == f64::INFINITY {
-            self.nodes.noted_at[i] = now + self.figures.seen_after;
+            self.nodes.noted_at[i] = now + self.terms.seen_after;
             // Nobody else acts on what we read at a set-up, so the first wait is short.
             self.nodes.rise_at[i] = now + self.rng.f64() * RISE_WAIT.0;
         }
@@ -596,7 +596,7 @@
 
     /// One SETUP there found no answer, so the others out there are called off to try elsewhere sooner.
     fn withdraw_all(&mut self, i: usize, but: SessId, orders: &mut impl Orders) {
-        let f = &self.figures;
+        let f = &self.terms;
         let others = self.sess.iter().filter(|(id, s)| **id != but && s.stage == Stage::Out && s.node == i);
         for (&id, s) in others.filter(|(_, s)| f.may_withdraw && s.setups < f.max_setups) {
             if f.groups[s.ask.group.0 as usize].repeat == Repeat::Freely {
@@ -611,7 +611,7 @@
             self.sess.remove(&sess);
         } else {
             s.left = true;
-            if s.stage == Stage::Out && self.figures.may_withdraw {
+            if s.stage == Stage::Out && self.terms.may_withdraw {
                 orders.withdraw(sess, s.setups as u8 - 1);
             }
         }
@@ -619,7 +619,7 @@
 
     /// Whether another SETUP beyond a session's first fits the budget, a beat's doubt on the safe side.
     fn further_fits(&self, now: f64) -> bool {
-        let Some(budget) = self.figures.further else { return true };
+        let Some(budget) = self.terms.further else { return true };
         let taken = self.taken.iter().filter(|&&t| t > now - budget.span + BEAT).count() as f64;
         let further = self.further.iter().filter(|&&t| t >= now - budget.span - BEAT).count() as f64;
         further + 1.0 <= budget.free + budget.per_taken * taken
@@ -630,7 +630,7 @@
     /// news alone, as after our own start, a gap that grows with the directors is enough: a SETUP each when
     /// many restart together, as few of their sessions meet at one node that also just started.
     fn cold_takes(&self, now: f64, i: usize) -> bool {
-        let (f, last) = (&self.figures, self.nodes.cold_sent[i]);
+        let (f, last) = (&self.terms, self.nodes.cold_sent[i]);
         let budget = COLD_USE * f.cold_budget * self.nodes.places[i] * self.warmth(now, i);
         if self.doubted(i) {
             return now - last >= (f.directors - 1.0).max(2.0) * f.fall_window / budget.max(1e-3);
@@ -653,7 +653,7 @@
     /// fleet by our number. Harm: while sessions come back by the crowd after a restart of ours alone, some
     /// are refused for a second or two.
     fn doubt_allows(&self, now: f64) -> bool {
-        let (n, f) = (&self.nodes, &self.figures);
+        let (n, f) = (&self.nodes, &self.terms);
         let bear = |&i: &usize| f.cold_budget * n.places[i] * self.warmth(now, i);
         let all: f64 = n.listed.iter().filter(|&&i| self.doubted(i)).map(bear).sum();
         let windows = 1.0 - COLD_USE + COLD_USE * (now - self.started) / f.fall_window.max(1e-3);
@@ -664,7 +664,7 @@
 
     /// Nodes that may take this session now.
     fn holders(&self, now: f64, s: &Sess) -> Vec<usize> {
-        let (n, f) = (&self.nodes, &self.figures);
+        let (n, f) = (&self.nodes, &self.terms);
         let group = &f.groups[s.ask.group.0 as usize];
         let doubts = self.doubt_allows(now);
         let fits = |&i: &usize| {
@@ -691,7 +691,7 @@
         let Some(s) = self.sess.get(&sess).filter(|s| s.stage == Stage::Owed) else { return };
         let (setups, left) = (s.setups, s.deadline - now);
         let (title, g) = (s.ask.title, s.ask.group.0);
-        let group = &self.figures.groups[g as usize];
+        let group = &self.terms.groups[g as usize];
         let repeat_ok = match (s.maybe_ran, group.repeat) {
             (None, _) | (_, Repeat::Freely) => true,
             (_, Repeat::Never) => false,
@@ -699,7 +699,7 @@
         };
         let seats_ok = group.seats == 0 || self.seats.get(&(title, g)).copied().unwrap_or(0) < group.seats;
         let time_ok = setups == 0 || left > BEAT;
-        let may = repeat_ok && seats_ok && time_ok && setups < self.figures.max_setups;
+        let may = repeat_ok && seats_ok && time_ok && setups < self.terms.max_setups;
         let found =
             if may && (setups == 0 || self.further_fits(now)) { self.choose(now, sess) } else { None };
         let Some((i, rung, plan)) = found else { return self.give_up(sess, orders) };
@@ -713,7 +713,7 @@
         if setups > 0 {
             self.further.push_back(now);
         }
-        let more = setups + 1 < self.figures.max_setups;
+        let more = setups + 1 < self.terms.max_setups;
         let late = self.setup_mean + SETUP_LATE * self.setup_dev;
         let s = self.sess.get_mut(&sess).expect("held since the start of this call");
         // Before the start target a part of the time left to it, then half of what the viewer still waits.
@@ -733,9 +733,9 @@
     /// The final answer when no SETUP can be sent: busy where allowed, so that the viewer may come back.
     fn give_up(&mut self, sess: SessId, orders: &mut impl Orders) {
         let Some(s) = self.sess.remove(&sess) else { return };
-        let repeat = self.figures.groups[s.ask.group.0 as usize].repeat;
+        let repeat = self.terms.groups[s.ask.group.0 as usize].repeat;
         if s.maybe_ran.is_none() || matches!(repeat, Repeat::Freely | Repeat::Within(Reach::Anywhere)) {
-            orders.busy(sess, self.figures.come_back);
+            orders.busy(sess, self.terms.come_back);
         } else {
             orders.fail(sess);
         }
@@ -745,7 +745,7 @@
     /// with room for the highest rung that any of them has room for.
     fn choose(&mut self, now: f64, sess: SessId) -> Option<(usize, u8, Steps)> {
         let s = &self.sess[&sess];
-        let group = &self.figures.groups[s.ask.group.0 as usize];
+        let group = &self.terms.groups[s.ask.group.0 as usize];
         let best = s.ask.best_rung.min(group.top);
         if best < group.floor {
             return None;
@@ -774,8 +774,8 @@
         }
         let wanted = offers.iter().map(|o| o.1).max().filter(|&r| r >= 0)?;
         offers.retain(|o| o.1 == wanted);
-        if self.figures.near_first && offers.iter().any(|o| self.nodes.zone[o.0] == self.figures.zone) {
-            offers.retain(|o| self.nodes.zone[o.0] == self.figures.zone);
+        if self.terms.near_first && offers.iter().any(|o| self.nodes.zone[o.0] == self.terms.zone) {
+            offers.retain(|o| self.nodes.zone[o.0] == self.terms.zone);
         }
         if group.join < 1.0 {
             // Viewers of a live title share its stream where they meet: all directors draw by the title's and
@@ -806,7 +806,7 @@
     /// The rung that a new session could have at node `i` if steps of our own sessions that earn clearly less
     /// for each kB gave way.
     fn squeeze(&self, now: f64, i: usize, s: &Sess, from: i16, best: u8) -> (i16, Steps) {
-        let group = &self.figures.groups[s.ask.group.0 as usize];
+        let group = &self.terms.groups[s.ask.group.0 as usize];
         let (link, uplink) = self.room(now, i, self.fill());
         let (mut reached, mut plan) = (from, Vec::new());
         for next in (from + 1).max(group.floor.into())..=best.into() {
@@ -838,7 +838,7 @@
         let mut moved = 0.0;
         loop {
             let step = rungs.iter().enumerate().filter_map(|(k, &(s, rung))| {
-                let group = &self.figures.groups[s.ask.group.0 as usize];
+                let group = &self.terms.groups[s.ask.group.0 as usize];
                 let low = if up { rung } else { rung.checked_sub(1)? };
                 if low + 1 > s.ask.best_rung.min(group.top) || low < group.floor {
                     return None;
@@ -864,7 +864,7 @@
     }
 
     fn beat(&mut self, now: f64, orders: &mut impl Orders) {
-        if self.figures.ask_list && now >= self.ask_at {
+        if self.terms.ask_list && now >= self.ask_at {
             orders.subscribe(true);
             self.ask_at = f64::INFINITY;
         }
@@ -877,7 +877,7 @@
             self.next_step = now + STEP;
             self.step();
         }
-        let span = self.figures.further.map_or(0.0, |budget| budget.span) + 2.0 * BEAT;
+        let span = self.terms.further.map_or(0.0, |budget| budget.span) + 2.0 * BEAT;
         self.taken.retain(|&t| t > now - span);
         self.further.retain(|&t| t > now - span);
         self.forget_gone();
@@ -886,16 +886,16 @@
     /// Lets what was last heard fade where no news comes. A last bad word must not hold on: without sessions
     /// there no other comes, so it would lock us out for good. A last good one must not invite more either.
     fn fade(&mut self, now: f64) {
-        let racks = self.figures.racks;
+        let racks = self.terms.racks;
         let listed = self.nodes.listed.clone();
         // All who hear a reading act on it: the more they are, the sooner and, to a limit, faster it drifts.
-        let many = (self.figures.directors / ALIKE).max(1.0);
+        let many = (self.terms.directors / ALIKE).max(1.0);
         // Each uplink, then each listed link, and whether its node just started.
         let nodes = listed.iter().map(|&i| (self.link(i), now < self.nodes.cold_until[i]));
         let links: Vec<(usize, bool)> = (0..racks).map(|r| (r, false)).chain(nodes).collect();
         for (l, started) in links {
             let (size, age) = (self.ledger.size[l], now - self.ledger.read_at[l]);
-            if l < racks && !self.figures.uplinks_told {
+            if l < racks && !self.terms.uplinks_told {
                 // Not while any of its nodes falls short: it would be tried again in the midst of the sag.
                 if self.nodes.by_rack[l].iter().any(|&i| self.nodes.delivered[i] < SHORT) {
                     continue;
@@ -920,15 +920,15 @@
     /// Steps down our part of what a link is over. Each director hears the same, so each takes its own share.
     fn relieve(&mut self, now: f64, l: usize, orders: &mut impl Orders) {
         let asked = self.asked(l);
-        let racks = self.figures.racks;
+        let racks = self.terms.racks;
         // Few directors can squeeze their own sessions instead.
         let full = asked / self.ledger.size[l];
-        let from = RELIEF.0 - (RELIEF.0 - YIELD) * (1.0 - PAIR / self.figures.directors).max(0.0).powi(FADES);
+        let from = RELIEF.0 - (RELIEF.0 - YIELD) * (1.0 - PAIR / self.terms.directors).max(0.0).powi(FADES);
         if full <= from || self.ledger.own[l] <= 0.0 {
             return;
         }
         // Only on news; for an uplink, which all share, on such that shows what the others did about it.
-        let heard = if l < racks { self.figures.seen_after } else { 0.0 };
+        let heard = if l < racks { self.terms.seen_after } else { 0.0 };
         if self.ledger.read_at[l] <= self.ledger.eased_at[l] + heard {
             return;
         }
@@ -936,7 +936,7 @@
         let (target, most, drawn) = if full > RELIEF.0 {
             (RELIEF.1, f64::INFINITY, DRAWN)
         } else {
-            (from, (full - from) / (RELIEF.0 - from) * self.figures.first_earns, 1.0)
+            (from, (full - from) / (RELIEF.0 - from) * self.terms.first_earns, 1.0)
         };
         let need = self.ledger.own[l] * (full - target) / full;
         let at = |i: usize| {
@@ -979,7 +979,7 @@
     /// use the room. On an old reading only where none are ever told.
     fn rise(&mut self, now: f64, i: usize, orders: &mut impl Orders) {
         let (l, r) = (self.link(i), self.rack(i));
-        let stale = now - self.ledger.read_at[l] > RISE_READING && self.figures.told_every > 0.0;
+        let stale = now - self.ledger.read_at[l] > RISE_READING && self.terms.told_every > 0.0;
         if now < self.nodes.rise_at[i] || self.nodes.delivered[i] < SHORT || stale {
             return;
         }
--- a/crates/kelpdoor/src/figures.rs
+++ b/crates/kelpdoor/src/derived_terms.rs
@@ -27,7 +27,7 @@
     }
 }
 
-pub struct Figures {
+pub struct DerivedTerms {
     pub me: u64,
     pub directors: f64,
     pub zone: u16,
@@ -56,7 +56,7 @@
     pub uplinks_told: bool,
 }
 
-impl Figures {
+impl DerivedTerms {
     pub fn new(terms: &Terms) -> Self {
         let group = |g: &GroupTerms| {
             let top = g.top.min(u8::try_from(terms.ladder.len() - 1).unwrap_or(u8::MAX));
@@ -75,7 +75,7 @@
         };
         let groups: Vec<Group> = terms.groups.iter().map(group).collect();
         let first = groups.iter().map(|g| g.earns[0] / g.kb[0].max(1e-9));
-        Figures {
+        DerivedTerms {
             me: terms.me.into(),
             directors: terms.directors.max(terms.me + 1).into(),
             zone: terms.zone,
--- a/crates/kelpdoor/src/lib.rs
+++ b/crates/kelpdoor/src/lib.rs
@@ -3,9 +3,9 @@
 //! The library does no I/O: [`Director::round`] takes all that came in since the last call and writes its
 //! decisions into an [`Orders`].
 
-mod books;
+mod accounting;
 mod decide;
-mod figures;
+mod derived_terms;
 pub mod ids;
 pub mod orders;
 pub mod round;
