--- a/crates/kelpdoor-benchlink/src/encode.rs
+++ b/crates/kelpdoor-benchlink/src/encode.rs
@@ -62,11 +62,11 @@
 }
 
 impl Orders for Reply {
-    fn rung(&mut self, sess: SessId, rung: u8) {
+    fn set_rung(&mut self, sess: SessId, rung: u8) {
         self.record(268, &[&sess.0.to_le_bytes(), &[rung]]);
     }
 
-    fn setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
+    fn send_setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
         let wait = ms(wait.unwrap_or(0.0));
         self.record(256, &[&sess.0.to_le_bytes(), &node.0.to_le_bytes(), &wait]);
     }
@@ -75,11 +75,11 @@
         self.record(259, &[&sess.0.to_le_bytes(), &[setup]]);
     }
 
-    fn busy(&mut self, sess: SessId, come_back: Option<f64>) {
+    fn reply_busy(&mut self, sess: SessId, come_back: Option<f64>) {
         self.record(257, &[&sess.0.to_le_bytes(), &ms(come_back.unwrap_or(0.0))]);
     }
 
-    fn fail(&mut self, sess: SessId) {
+    fn reply_failed(&mut self, sess: SessId) {
         self.record(258, &[&sess.0.to_le_bytes()]);
     }
 
@@ -99,11 +99,11 @@
         self.record(261, &[&node.0.to_le_bytes()]);
     }
 
-    fn hang_up(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.record(262, &[&node.0.to_le_bytes()]);
     }
 
-    fn tell(&mut self, director: Option<u16>, message: &[u8]) {
+    fn send_message(&mut self, director: Option<u16>, message: &[u8]) {
         let field = self.in_tail(message);
         self.record(263, &[&director.unwrap_or(u16::MAX).to_le_bytes(), &field]);
     }
@@ -113,12 +113,12 @@
         self.record(264, &[&field]);
     }
 
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         let field = self.in_tail(why.as_bytes());
         self.record(265, &[&field]);
     }
 
-    fn wake(&mut self, after: f64) {
+    fn wake_after(&mut self, after: f64) {
         self.record(260, &[&ms(after), &WAKE.to_le_bytes()]);
     }
 }
--- a/crates/kelpdoor-director/src/desk.rs
+++ b/crates/kelpdoor-director/src/desk.rs
@@ -1156,7 +1156,7 @@
 }
 
 impl Orders for Hands {
-    fn rung(&mut self, sess: SessId, rung: u8) {
+    fn set_rung(&mut self, sess: SessId, rung: u8) {
         let may = self.may_begin();
         let Some(s) = self.sess.get_mut(&sess.0) else { return };
         if s.stage == Stage::Playing && !may {
@@ -1184,7 +1184,7 @@
         self.say(sock, ToPlayer::Rung { key, rung });
     }
 
-    fn setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
+    fn send_setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
         let (id, now) = (sess.0, self.now);
         self.next_pipe += 1;
         let pipe = self.next_pipe;
@@ -1237,12 +1237,12 @@
         }
     }
 
-    fn busy(&mut self, sess: SessId, come_back: Option<f64>) {
+    fn reply_busy(&mut self, sess: SessId, come_back: Option<f64>) {
         self.answer(sess.0, |key| ToPlayer::Busy { key, come_back });
         self.over(sess.0);
     }
 
-    fn fail(&mut self, sess: SessId) {
+    fn reply_failed(&mut self, sess: SessId) {
         self.answer(sess.0, |key| ToPlayer::Failed { key, why: FailedWhy::NoAnswer });
         self.over(sess.0);
     }
@@ -1271,14 +1271,14 @@
         self.request(node.0, Asked::Probe { told: true }, Method::GetParameter, &uri, &[]);
     }
 
-    fn hang_up(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         let idle = self.links.get(&node.0).filter(|l| l.line == Line::Up && l.sessions.is_empty());
         if let Some(number) = idle.map(|l| l.number) {
             self.lose(node.0, number, true);
         }
     }
 
-    fn tell(&mut self, _director: Option<u16>, _message: &[u8]) {
+    fn send_message(&mut self, _director: Option<u16>, _message: &[u8]) {
         self.note(None, "directors do not talk to each other here");
     }
 
@@ -1286,11 +1286,11 @@
         self.note(None, line);
     }
 
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         self.effects.push(Effect::Fault(why.to_owned()));
     }
 
-    fn wake(&mut self, after: f64) {
+    fn wake_after(&mut self, after: f64) {
         let at = self.now + after;
         self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
     }
--- a/crates/kelpdoor-platform/src/exchange.rs
+++ b/crates/kelpdoor-platform/src/exchange.rs
@@ -1378,7 +1378,7 @@
 }
 
 impl Orders for Hands {
-    fn rung(&mut self, sess: SessId, rung: u8) {
+    fn set_rung(&mut self, sess: SessId, rung: u8) {
         let Some(s) = self.sess.get_mut(&sess) else { return };
         s.rung = rung;
         if s.stage == Stage::Stands {
@@ -1387,7 +1387,7 @@
         }
     }
 
-    fn setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
+    fn send_setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
         let now = self.now;
         if !self.sess.contains_key(&sess) {
             // Nobody waits for it any more: the decisions are to count it out.
@@ -1422,13 +1422,13 @@
         self.call_off(sess, SetupOutcome::Withdrawn);
     }
 
-    fn busy(&mut self, sess: SessId, come_back: Option<f64>) {
+    fn reply_busy(&mut self, sess: SessId, come_back: Option<f64>) {
         self.answered[1] += 1;
         self.answer(sess, cause::BUSY, come_back);
         self.forget(sess);
     }
 
-    fn fail(&mut self, sess: SessId) {
+    fn reply_failed(&mut self, sess: SessId) {
         self.answered[2] += 1;
         self.answer(sess, cause::FAILED, None);
         self.forget(sess);
@@ -1453,7 +1453,7 @@
     // The platform's tests of nodes show that a connection works, which SETUPs and notes show too.
     fn probe(&mut self, _node: NodeId) {}
 
-    fn hang_up(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         let links = self.nodes.get(&node).map(|n| n.links.clone()).unwrap_or_default();
         for link in links {
             if self.links.get(&link).is_some_and(|l| l.up && l.out.is_empty()) {
@@ -1463,17 +1463,17 @@
     }
 
     // Directors have no way to talk to each other here.
-    fn tell(&mut self, _director: Option<u16>, _message: &[u8]) {}
+    fn send_message(&mut self, _director: Option<u16>, _message: &[u8]) {}
 
     fn log(&mut self, line: &str) {
         self.effects.push(Effect::Log(line.to_owned()));
     }
 
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         self.effects.push(Effect::Fault(why.to_owned()));
     }
 
-    fn wake(&mut self, after: f64) {
+    fn wake_after(&mut self, after: f64) {
         let at = self.now + after;
         self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
     }
--- a/crates/kelpdoor/src/decide.rs
+++ b/crates/kelpdoor/src/decide.rs
@@ -181,7 +181,7 @@
         }
         if now >= self.woken_for {
             self.woken_for = now + BEAT;
-            orders.wake(BEAT);
+            orders.wake_after(BEAT);
         }
     }
 
@@ -726,8 +726,8 @@
         s.changed_at = now;
         let id = self.nodes.id[i];
         self.hold(now, sess);
-        orders.rung(sess, rung);
-        orders.setup(sess, id, (more && wait < left).then_some(wait));
+        orders.set_rung(sess, rung);
+        orders.send_setup(sess, id, (more && wait < left).then_some(wait));
     }
 
     /// The final answer when no SETUP can be sent: busy where allowed, so that the viewer may come back.
@@ -735,9 +735,9 @@
         let Some(s) = self.sess.remove(&sess) else { return };
         let repeat = self.terms.groups[s.ask.group.0 as usize].repeat;
         if s.maybe_ran.is_none() || matches!(repeat, Repeat::Freely | Repeat::Within(Reach::Anywhere)) {
-            orders.busy(sess, self.terms.come_back);
+            orders.reply_busy(sess, self.terms.come_back);
         } else {
-            orders.fail(sess);
+            orders.reply_failed(sess);
         }
     }
 
@@ -859,7 +859,7 @@
         self.recount(now, sess, rung);
         if let Some(s) = self.sess.get_mut(&sess) {
             s.changed_at = now;
-            orders.rung(sess, rung);
+            orders.set_rung(sess, rung);
         }
     }
 
--- a/crates/kelpdoor/tests/any_settings.rs
+++ b/crates/kelpdoor/tests/any_settings.rs
@@ -64,12 +64,12 @@
 }
 
 impl Orders for Judge {
-    fn rung(&mut self, sess: SessId, rung: u8) {
+    fn set_rung(&mut self, sess: SessId, rung: u8) {
         let (floor, top) = (self.group(sess).floor, self.held[&sess].ask.best_rung);
         assert!((floor..=top).contains(&rung), "rung {rung} is not within {floor} to {top}");
     }
 
-    fn setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
+    fn send_setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
         self.sent += 1;
         let (now, h) = (self.now, self.held.get(&sess).expect("still owed an answer"));
         assert!(h.out.is_none() && h.plays.is_none(), "two SETUPs of {sess:?} would be out");
@@ -115,7 +115,7 @@
         }
     }
 
-    fn busy(&mut self, sess: SessId, come_back: Option<f64>) {
+    fn reply_busy(&mut self, sess: SessId, come_back: Option<f64>) {
         self.busy += 1;
         let repeat = self.group(sess).repeat;
         let h = self.held.remove(&sess).expect("answered once");
@@ -124,7 +124,7 @@
         assert_eq!(come_back, self.terms.come_back, "with when to come back, where that may be said");
     }
 
-    fn fail(&mut self, sess: SessId) {
+    fn reply_failed(&mut self, sess: SessId) {
         self.failed += 1;
         let h = self.held.remove(&sess).expect("answered once");
         assert!(h.out.is_none() && h.plays.is_none() && self.now <= h.due + APART);
@@ -134,13 +134,13 @@
     fn subscribe(&mut self, _: bool) {}
     fn fetch_list(&mut self) {}
     fn probe(&mut self, _: NodeId) {}
-    fn hang_up(&mut self, _: NodeId) {}
-    fn tell(&mut self, _: Option<u16>, _: &[u8]) {}
+    fn close_idle_connections(&mut self, _: NodeId) {}
+    fn send_message(&mut self, _: Option<u16>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         panic!("{why}");
     }
-    fn wake(&mut self, _: f64) {}
+    fn wake_after(&mut self, _: f64) {}
 }
 
 fn settings(rng: &mut Rng) -> Terms {
--- a/crates/kelpdoor/tests/cold_fleet.rs
+++ b/crates/kelpdoor/tests/cold_fleet.rs
@@ -51,24 +51,24 @@
 struct Out(Vec<(SessId, NodeId)>);
 
 impl Orders for Out {
-    fn rung(&mut self, _: SessId, _: u8) {}
-    fn setup(&mut self, s: SessId, node: NodeId, _: Option<f64>) {
+    fn set_rung(&mut self, _: SessId, _: u8) {}
+    fn send_setup(&mut self, s: SessId, node: NodeId, _: Option<f64>) {
         self.0.push((s, node));
     }
     fn withdraw(&mut self, _: SessId, _: u8) {}
-    fn busy(&mut self, _: SessId, _: Option<f64>) {}
-    fn fail(&mut self, _: SessId) {}
+    fn reply_busy(&mut self, _: SessId, _: Option<f64>) {}
+    fn reply_failed(&mut self, _: SessId) {}
     fn shift(&mut self, _: SessId) {}
     fn subscribe(&mut self, _: bool) {}
     fn fetch_list(&mut self) {}
     fn probe(&mut self, _: NodeId) {}
-    fn hang_up(&mut self, _: NodeId) {}
-    fn tell(&mut self, _: Option<u16>, _: &[u8]) {}
+    fn close_idle_connections(&mut self, _: NodeId) {}
+    fn send_message(&mut self, _: Option<u16>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         panic!("{why}");
     }
-    fn wake(&mut self, _: f64) {}
+    fn wake_after(&mut self, _: f64) {}
 }
 
 fn line(node: u32, up_since: f64) -> ListedNode {
--- a/crates/kelpdoor/tests/helper/mod.rs
+++ b/crates/kelpdoor/tests/helper/mod.rs
@@ -32,10 +32,10 @@
 }
 
 impl Orders for Trace {
-    fn rung(&mut self, s: SessId, rung: u8) {
+    fn set_rung(&mut self, s: SessId, rung: u8) {
         self.line(format_args!("sess {} rung {rung}", s.0));
     }
-    fn setup(&mut self, s: SessId, node: NodeId, wait: Option<f64>) {
+    fn send_setup(&mut self, s: SessId, node: NodeId, wait: Option<f64>) {
         let wait = wait.map_or("as long as the viewer".into(), |w| format!("{w:.2}"));
         self.line(format_args!("sess {} SETUP at {}, wait {wait}", s.0, node.0));
         self.sent.push((s, node));
@@ -43,10 +43,10 @@
     fn withdraw(&mut self, s: SessId, setup: u8) {
         self.line(format_args!("sess {} withdraw {setup}", s.0));
     }
-    fn busy(&mut self, s: SessId, back: Option<f64>) {
+    fn reply_busy(&mut self, s: SessId, back: Option<f64>) {
         self.line(format_args!("sess {} busy, come back {back:?}", s.0));
     }
-    fn fail(&mut self, s: SessId) {
+    fn reply_failed(&mut self, s: SessId) {
         self.line(format_args!("sess {} fail", s.0));
     }
     fn shift(&mut self, s: SessId) {
@@ -61,19 +61,19 @@
     fn probe(&mut self, node: NodeId) {
         self.line(format_args!("probe {}", node.0));
     }
-    fn hang_up(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.line(format_args!("hang up on {}", node.0));
     }
-    fn tell(&mut self, director: Option<u16>, message: &[u8]) {
+    fn send_message(&mut self, director: Option<u16>, message: &[u8]) {
         self.line(format_args!("tell {director:?} {message:?}"));
     }
     fn log(&mut self, line: &str) {
         self.line(format_args!("log {line}"));
     }
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         self.line(format_args!("fault {why}"));
     }
-    fn wake(&mut self, _: f64) {}
+    fn wake_after(&mut self, _: f64) {}
 }
 
 /// Two racks, six cells, a ladder of three; a node's link carries ten sessions at the middle rung.
