--- a/crates/kelpdoor-director/src/desk.rs
+++ b/crates/kelpdoor-director/src/desk.rs
@@ -11,7 +11,8 @@
 
 use kelpdoor::ids::{GroupId, NodeId, SessId, TitleId};
 use kelpdoor::round::{
-    Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase as ListPhase, Playing, Reading,
+    Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase as ListPhase, Playing,
+    SetupOutcome,
 };
 use kelpdoor::{Director, Orders, Round};
 use kelpdoor_api::{EndReason, ErrorCode, FailureReason, FromPlayer, RequestKey, ToPlayer};
@@ -165,7 +166,7 @@
             Input::Cached(list) => h.cached(list),
             Input::Rules { book, label } => {
                 h.rules(*book, label);
-                self.director.go_by(&h.book.terms());
+                self.director.update_terms(&h.book.terms());
             }
             Input::Lease { until } => h.lease = Some(until),
             Input::Unsent { node, link, name } => h.unsent(node, link, name),
@@ -383,7 +384,7 @@
     fn barred(&mut self, id: u64) {
         let come_back = self.book.director.come_back;
         self.note(Some(id), "no lease on the rules: not set up");
-        self.give_up(id, Ending::Moot, true);
+        self.give_up(id, SetupOutcome::NeverSent, true);
         self.answer(id, |key| ToPlayer::Busy { key, come_back });
         self.over(id);
     }
@@ -421,7 +422,7 @@
             Stage::Over | Stage::Ending => {}
             Stage::Asked => {
                 if s.attempt.is_some() {
-                    self.give_up(id, Ending::Withdrawn, true);
+                    self.give_up(id, SetupOutcome::Withdrawn, true);
                 } else if s.wanted.is_none() {
                     self.round.departures.push(SessId(id));
                 }
@@ -586,7 +587,7 @@
         let Some(link) = self.links.get_mut(&node) else { return };
         let waiting = std::mem::take(&mut link.waiting);
         self.down(node);
-        waiting.into_iter().for_each(|id| self.give_up(id, Ending::Unreachable, false));
+        waiting.into_iter().for_each(|id| self.give_up(id, SetupOutcome::Unreachable, false));
     }
 
     /// Sets the line down, to be dialled again after a growing wait.
@@ -619,8 +620,8 @@
             let Some(s) = self.sess.get_mut(&id) else { continue };
             let (stage, sent) = (s.stage, s.attempt.as_ref().is_some_and(|a| a.sent));
             s.attempt = None;
-            let how = if sent { Ending::Broken } else { Ending::Unreachable };
-            self.ended(id, node, how, stage != Stage::Asked, LoadReport::default());
+            let outcome = if sent { SetupOutcome::ConnectionLost } else { SetupOutcome::Unreachable };
+            self.ended(id, node, outcome, stage != Stage::Asked, LoadReport::default());
             if stage != Stage::Asked {
                 self.tell_ended(id, EndReason::NodeLost);
                 self.over(id);
@@ -628,9 +629,9 @@
         }
     }
 
-    fn ended(&mut self, id: u64, node: u32, how: Ending, closed: bool, load: LoadReport) {
-        self.note(Some(id), format!("at node {node}: {how:?}"));
-        self.round.ended.push(Ended { sess: SessId(id), node: NodeId(node), how, closed, load });
+    fn ended(&mut self, id: u64, node: u32, outcome: SetupOutcome, closed: bool, load: LoadReport) {
+        self.note(Some(id), format!("at node {node}: {outcome:?}"));
+        self.round.ended.push(Ended { sess: SessId(id), node: NodeId(node), outcome, closed, load });
     }
 
     fn uri(&self, node: u32, title: &str) -> String {
@@ -649,7 +650,7 @@
         }
         if a.rules != rules {
             // Decided on rules that changed while it waited for its connection: decided anew.
-            return self.give_up(id, Ending::Moot, false);
+            return self.give_up(id, SetupOutcome::NeverSent, false);
         }
         (a.sent, a.link) = (true, link.number);
         let mut setup = vec![
@@ -684,17 +685,17 @@
     }
 
     /// Ends a SETUP that is out: it is taken back at once, so that a late success plays nowhere.
-    fn give_up(&mut self, id: u64, how: Ending, closed: bool) {
+    fn give_up(&mut self, id: u64, outcome: SetupOutcome, closed: bool) {
         let Some(a) = self.sess.get(&id).and_then(|s| s.attempt.clone()) else { return };
         self.tear_down(id);
         self.leave(id, &a);
-        let how = match how {
+        let outcome = match outcome {
             // What never went out never ran.
-            Ending::TimedOut if !a.sent => Ending::Unreachable,
-            Ending::Withdrawn if !a.sent => Ending::Moot,
-            how => how,
+            SetupOutcome::TimedOut if !a.sent => SetupOutcome::Unreachable,
+            SetupOutcome::Withdrawn if !a.sent => SetupOutcome::NeverSent,
+            outcome => outcome,
         };
-        self.ended(id, a.node, how, closed, LoadReport::default());
+        self.ended(id, a.node, outcome, closed, LoadReport::default());
     }
 
     /// The link holds the session no more.
@@ -723,9 +724,9 @@
         match asked {
             Asked::Options => {}
             Asked::Probe { told } => {
-                let how = if r.ok() { Ending::Served } else { Ending::Erred };
+                let outcome = if r.ok() { SetupOutcome::Served } else { SetupOutcome::Failed };
                 if told {
-                    self.round.probed.push((NodeId(node), how, load));
+                    self.round.probed.push((NodeId(node), outcome, load));
                 }
             }
             Asked::Setup { sess, pipe } => {
@@ -798,7 +799,7 @@
             *answered = was;
         }
         let (key, sock) = (s.key.clone(), s.sock);
-        self.round.readings.push(Reading::Rung { sess: SessId(id), rung: was });
+        self.round.measurements.push(Measurement::Rung { sess: SessId(id), rung: was });
         self.say(sock, ToPlayer::Rung { key, rung: was });
     }
 
@@ -806,12 +807,12 @@
     /// taken back before any other goes out.
     fn refused(&mut self, id: u64, turned_away: bool, load: LoadReport) {
         let Some(a) = self.sess.get(&id).and_then(|s| s.attempt.clone()) else { return };
-        let how = if turned_away { Ending::BusyReplied } else { Ending::Erred };
+        let outcome = if turned_away { SetupOutcome::BusyReplied } else { SetupOutcome::Failed };
         if !turned_away {
             self.tear_down(id);
         }
         self.leave(id, &a);
-        self.ended(id, a.node, how, false, load);
+        self.ended(id, a.node, outcome, false, load);
     }
 
     /// The session plays once SETUP and PLAY are both answered.
@@ -823,7 +824,7 @@
         }
         if self.now > s.deadline {
             // We stood still while the answer lay there; the viewer has given up.
-            return self.give_up(id, Ending::TimedOut, false);
+            return self.give_up(id, SetupOutcome::TimedOut, false);
         }
         let (node, took, rung, title) = (a.node, self.now - a.sent_at, s.rung, s.title_name.clone());
         let (uri, resume_for) = (self.uri(node, &title), self.book.players.resume_for);
@@ -842,10 +843,10 @@
     fn reading(&mut self, id: u64, node: u32, asked: LinkDemandHeader) {
         let (sess, node) = (SessId(id), NodeId(node));
         if let Some(asked) = asked.link {
-            self.round.readings.push(Reading::Link { sess, node, asked });
+            self.round.measurements.push(Measurement::Link { sess, node, asked });
         }
         if let Some(asked) = asked.uplink {
-            self.round.readings.push(Reading::Uplink { sess, node, asked });
+            self.round.measurements.push(Measurement::Uplink { sess, node, asked });
         }
     }
 
@@ -853,7 +854,7 @@
         let Some(s) = self.sess.get(&id).filter(|s| s.stage == Stage::Ending) else { return };
         let Some(a) = s.attempt.clone() else { return };
         self.leave(id, &a);
-        self.ended(id, node, Ending::Served, true, load);
+        self.ended(id, node, SetupOutcome::Served, true, load);
         self.over(id);
     }
 
@@ -878,7 +879,7 @@
             notify_reasons::DELIVERY_SHARE => {
                 let share = r.headers.parse_value::<f64>(header_names::DELIVERED);
                 if let Some(share) = share.filter(|s| s.is_finite() && (0.0..=1.0).contains(s)) {
-                    self.round.readings.push(Reading::Delivered { node: NodeId(node), share });
+                    self.round.measurements.push(Measurement::Delivered { node: NodeId(node), share });
                 }
             }
             notify_reasons::LINK_LOAD => {
@@ -891,7 +892,7 @@
                 if let Some(a) = self.sess.get(&id).and_then(|s| s.attempt.clone()) {
                     self.leave(id, &a);
                 }
-                self.ended(id, node, Ending::Served, true, load_of(&r.headers));
+                self.ended(id, node, SetupOutcome::Served, true, load_of(&r.headers));
                 self.tell_ended(id, EndReason::Finished);
                 self.over(id);
             }
@@ -933,7 +934,7 @@
         (self.book, self.label) = (book, label);
         self.rules += 1;
         let other = nodes.iter().zip(before).filter(|(n, was)| self.phase(n) != *was);
-        let other: Vec<Listed> = other.map(|(n, _)| self.listed(n)).collect();
+        let other: Vec<ListedNode> = other.map(|(n, _)| self.listed(n)).collect();
         if !other.is_empty() {
             let named: Vec<String> = other.iter().map(|l| format!("{} {:?}", l.node.0, l.phase)).collect();
             self.note(None, format!("the agreed list: {}", named.join(", ")));
@@ -942,9 +943,9 @@
         }
     }
 
-    fn listed(&self, n: &RosterNode) -> Listed {
+    fn listed(&self, n: &RosterNode) -> ListedNode {
         let f = &self.book.fleet;
-        Listed {
+        ListedNode {
             node: NodeId(n.id),
             zone: f.zones.iter().position(|z| *z == n.zone).unwrap_or(0) as u16,
             kind: f.kinds.keys().position(|k| *k == n.kind).unwrap_or(0) as u8,
@@ -1022,7 +1023,7 @@
             } else if let Some(link) = self.links.get_mut(&n.id) {
                 // What has not gone out to it yet must not go out any more.
                 let waiting = std::mem::take(&mut link.waiting);
-                waiting.into_iter().for_each(|id| self.give_up(id, Ending::Moot, false));
+                waiting.into_iter().for_each(|id| self.give_up(id, SetupOutcome::NeverSent, false));
             }
         }
     }
@@ -1048,7 +1049,7 @@
             Timer::SetupDue { sess, number } => {
                 let out = self.sess.get(&sess).filter(|s| s.stage == Stage::Asked);
                 if out.and_then(|s| s.attempt.as_ref()).is_some_and(|a| a.number == number) {
-                    self.give_up(sess, Ending::TimedOut, false);
+                    self.give_up(sess, SetupOutcome::TimedOut, false);
                 }
             }
             Timer::AnswerDue { sess } => {
@@ -1061,7 +1062,7 @@
                 }
                 match owed.map(|s| s.attempt.is_some()) {
                     None => {}
-                    Some(true) => self.give_up(sess, Ending::TimedOut, false),
+                    Some(true) => self.give_up(sess, SetupOutcome::TimedOut, false),
                     // Its ending is on the way to the decisions: they answer in this round.
                     Some(false) if self.round.ended.iter().any(|e| e.sess == SessId(sess)) => {
                         self.timers.set(self.now + LEAST_LEFT, Timer::AnswerDue { sess });
@@ -1166,13 +1167,13 @@
 }
 
 impl Orders for Hands {
-    fn rung(&mut self, sess: SessId, rung: u8) {
+    fn set_rung(&mut self, sess: SessId, rung: u8) {
         let may = self.may_begin();
         let Some(s) = self.sess.get_mut(&sess.0) else { return };
         if s.stage == Stage::Playing && !may {
             // Floors may have changed meanwhile: what plays stays as it is.
             let rung = s.rung;
-            return self.round.readings.push(Reading::Rung { sess, rung });
+            return self.round.measurements.push(Measurement::Rung { sess, rung });
         }
         let was = std::mem::replace(&mut s.rung, rung);
         if s.stage != Stage::Playing || was == rung {
@@ -1194,7 +1195,7 @@
         self.say(sock, ToPlayer::Rung { key, rung });
     }
 
-    fn setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
+    fn send_setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
         let (id, now) = (sess.0, self.now);
         self.next_pipe += 1;
         let pipe = self.next_pipe;
@@ -1226,7 +1227,7 @@
             return self.barred(id);
         }
         let Some(link) = self.links.get_mut(&node.0) else {
-            return self.give_up(id, Ending::Unreachable, false);
+            return self.give_up(id, SetupOutcome::Unreachable, false);
         };
         link.sessions.insert(id);
         let up = link.line == Line::Up;
@@ -1243,16 +1244,16 @@
     fn withdraw(&mut self, sess: SessId, setup: u8) {
         let out = self.sess.get(&sess.0).filter(|s| s.stage == Stage::Asked);
         if out.and_then(|s| s.attempt.as_ref()).is_some_and(|a| a.number == setup) {
-            self.give_up(sess.0, Ending::Withdrawn, false);
+            self.give_up(sess.0, SetupOutcome::Withdrawn, false);
         }
     }
 
-    fn busy(&mut self, sess: SessId, come_back: Option<f64>) {
+    fn reply_busy(&mut self, sess: SessId, come_back: Option<f64>) {
         self.answer(sess.0, |key| ToPlayer::Busy { key, come_back });
         self.over(sess.0);
     }
 
-    fn fail(&mut self, sess: SessId) {
+    fn reply_failed(&mut self, sess: SessId) {
         self.answer(sess.0, |key| ToPlayer::Failed { key, why: FailureReason::NoAnswer });
         self.over(sess.0);
     }
@@ -1263,7 +1264,7 @@
         let Some(a) = s.attempt.clone() else { return };
         self.tear_down(id);
         self.leave(id, &a);
-        self.ended(id, a.node, Ending::Withdrawn, true, LoadReport::default());
+        self.ended(id, a.node, SetupOutcome::Withdrawn, true, LoadReport::default());
         self.tell_ended(id, EndReason::Shifted);
         self.over(id);
     }
@@ -1281,14 +1282,14 @@
         self.request(node.0, Asked::Probe { told: true }, Method::GetParameter, &uri, &[]);
     }
 
-    fn hang_up(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         let idle = self.links.get(&node.0).filter(|l| l.line == Line::Up && l.sessions.is_empty());
         if let Some(number) = idle.map(|l| l.number) {
             self.lose(node.0, number, true);
         }
     }
 
-    fn tell(&mut self, _director: Option<u16>, _message: &[u8]) {
+    fn send_message(&mut self, _director: Option<u16>, _message: &[u8]) {
         self.note(None, "directors do not talk to each other here");
     }
 
@@ -1296,11 +1297,11 @@
         self.note(None, line);
     }
 
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         self.effects.push(Effect::Fault(why.to_owned()));
     }
 
-    fn wake(&mut self, after: f64) {
+    fn wake_after(&mut self, after: f64) {
         let at = self.now + after;
         self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
     }
--- a/crates/kelpdoor-platform/src/exchange.rs
+++ b/crates/kelpdoor-platform/src/exchange.rs
@@ -14,7 +14,9 @@
 use std::net::SocketAddr;
 
 use kelpdoor::ids::{GroupId, NodeId, SessId};
-use kelpdoor::round::{Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase, Playing, Reading};
+use kelpdoor::round::{
+    Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase, Playing, SetupOutcome,
+};
 use kelpdoor::{Director, Orders, Round};
 use kelpdoor_parts::{TimerId, Timers};
 use kelpdoor_rtsp::Message;
@@ -224,7 +226,7 @@
     name: String,
     address: SocketAddr,
     phase: Phase,
-    line: Listed,
+    line: ListedNode,
     links: BTreeSet<u64>,
     standing: BTreeSet<SessId>,
     doubted: BTreeSet<SessId>,
@@ -363,7 +365,7 @@
         h.now = h.now.max(now);
         while let Some(timer) = h.timers.pop(h.now) {
             match timer {
-                Timer::SetupDue { sess } => h.call_off(sess, Ending::TimedOut),
+                Timer::SetupDue { sess } => h.call_off(sess, SetupOutcome::TimedOut),
                 Timer::AnswerDue { sess } => h.answer_due(sess),
             }
         }
@@ -680,7 +682,7 @@
         if s.stage == Stage::Stands {
             let node = s.node;
             self.touch(conn);
-            self.end(sess, node, Ending::Withdrawn, LoadReport::default());
+            self.end(sess, node, SetupOutcome::Withdrawn, LoadReport::default());
             self.send_or_owe(node, Owed::Release(sess, cause::CLEARED));
         } else if s.conn == conn && !s.left {
             self.depart(sess);
@@ -697,7 +699,7 @@
             // Nothing is out, so nothing will say of it again.
             Stage::Asked => drop(self.forget(sess)),
             // Its connection may come up before the decisions hear of it, and may not cancel what is out.
-            Stage::Waiting => self.setup_over(sess, Ending::Moot, LoadReport::default()),
+            Stage::Waiting => self.setup_over(sess, SetupOutcome::NeverSent, LoadReport::default()),
             Stage::Out | Stage::Doubt | Stage::Stands => {}
         }
     }
@@ -766,7 +768,7 @@
     }
 
     /// A session that stood is over.
-    fn end(&mut self, sess: SessId, node: NodeId, how: Ending, load: LoadReport) {
+    fn end(&mut self, sess: SessId, node: NodeId, outcome: SetupOutcome, load: LoadReport) {
         let Some(s) = self.forget(sess) else { return };
         debug_assert!(s.stage == Stage::Stands, "only what stands ends so");
         self.standing -= 1;
@@ -776,11 +778,11 @@
         if let Some(n) = self.nodes.get_mut(&node) {
             n.standing.remove(&sess);
         }
-        self.round.ended.push(Ended { sess, node, how, closed: true, load });
+        self.round.ended.push(Ended { sess, node, outcome, closed: true, load });
     }
 
     /// A SETUP is over without a session; the decisions hear how, and say what becomes of it.
-    fn setup_over(&mut self, sess: SessId, how: Ending, load: LoadReport) {
+    fn setup_over(&mut self, sess: SessId, outcome: SetupOutcome, load: LoadReport) {
         let Some(s) = self.sess.get_mut(&sess) else { return };
         let (node, link, left) = (s.node, s.link, s.left);
         s.stage = Stage::Asked;
@@ -796,7 +798,7 @@
         if left {
             self.forget(sess);
         }
-        self.round.ended.push(Ended { sess, node, how, closed: left, load });
+        self.round.ended.push(Ended { sess, node, outcome, closed: left, load });
         self.rest(link);
     }
 
@@ -835,16 +837,20 @@
     }
 
     /// Gives up a SETUP: its node is told, and a late answer will be released.
-    fn call_off(&mut self, sess: SessId, how: Ending) {
+    fn call_off(&mut self, sess: SessId, outcome: SetupOutcome) {
         let Some(s) = self.sess.get(&sess) else { return };
         let (stage, node, link, sent) = (s.stage, s.node, s.link, s.sent);
         match stage {
             Stage::Asked | Stage::Stands => {}
-            Stage::Doubt => self.setup_lost(sess, how),
+            Stage::Doubt => self.setup_lost(sess, outcome),
             // It never left.
             Stage::Waiting => {
-                let how = if how == Ending::TimedOut { Ending::Unreachable } else { Ending::Moot };
-                self.setup_over(sess, how, LoadReport::default());
+                let outcome = if outcome == SetupOutcome::TimedOut {
+                    SetupOutcome::Unreachable
+                } else {
+                    SetupOutcome::NeverSent
+                };
+                self.setup_over(sess, outcome, LoadReport::default());
             }
             Stage::Out => {
                 self.effects.push(Effect::Node { link, bytes: media::give_up(sess) });
@@ -853,26 +859,26 @@
                 if let Some(l) = self.links.get_mut(&link) {
                     // A connection on which an answer stayed out may be of no use for the next one either.
                     l.tired = true;
-                    l.silent |= how == Ending::TimedOut && !spoke;
+                    l.silent |= outcome == SetupOutcome::TimedOut && !spoke;
                 }
-                self.setup_over(sess, how, LoadReport::default());
+                self.setup_over(sess, outcome, LoadReport::default());
             }
         }
     }
 
     /// A SETUP whose connection is lost: it may stand at its node, where it is released unless the process is gone.
-    fn setup_lost(&mut self, sess: SessId, how: Ending) {
+    fn setup_lost(&mut self, sess: SessId, outcome: SetupOutcome) {
         let Some(s) = self.sess.get(&sess) else { return };
         let (node, stage) = (s.node, s.stage);
         if stage == Stage::Waiting {
             // It never left.
-            return self.setup_over(sess, Ending::Unreachable, LoadReport::default());
+            return self.setup_over(sess, SetupOutcome::Unreachable, LoadReport::default());
         }
         self.remember_given_up(sess, node);
         if self.nodes.get(&node).is_some_and(|n| !n.pulse.refused()) {
             self.send_or_owe(node, Owed::Release(sess, cause::CLEARED));
         }
-        self.setup_over(sess, how, LoadReport::default());
+        self.setup_over(sess, outcome, LoadReport::default());
     }
 
     // Connections to nodes.
@@ -969,7 +975,7 @@
         if self.nodes.get(&node).is_some_and(|n| self.by_address.get(&n.address) != Some(&node)) {
             // While it was dialled its address became another node's, which is not the one that was meant.
             for sess in waiting {
-                self.setup_over(sess, Ending::Moot, LoadReport::default());
+                self.setup_over(sess, SetupOutcome::NeverSent, LoadReport::default());
             }
             return self.hang_up_link(link, true);
         }
@@ -986,7 +992,7 @@
         waiting.into_iter().for_each(|sess| self.send_setup(sess));
         owed.into_iter().for_each(|(_, owed)| self.send_owed(link, owed));
         // The node lives, so only the connection was lost: whether its SETUPs ran is not known.
-        doubted.into_iter().for_each(|sess| self.setup_lost(sess, Ending::Withdrawn));
+        doubted.into_iter().for_each(|sess| self.setup_lost(sess, SetupOutcome::Withdrawn));
     }
 
     fn remember_given_up(&mut self, sess: SessId, node: NodeId) {
@@ -1003,7 +1009,7 @@
         if let Some(n) = self.nodes.get_mut(&l.node) {
             n.links.remove(&link);
         }
-        let ending = if how == Failed::Ours { Ending::Moot } else { Ending::Unreachable };
+        let ending = if how == Failed::Ours { SetupOutcome::NeverSent } else { SetupOutcome::Unreachable };
         l.out.into_iter().for_each(|sess| self.setup_over(sess, ending, LoadReport::default()));
         if how != Failed::Ours {
             self.unreached(l.node, how == Failed::Refused, why);
@@ -1023,7 +1029,7 @@
             // Whatever stood there went with its process.
             n.owed.clear();
         }
-        doubted.into_iter().for_each(|sess| self.setup_lost(sess, Ending::Broken));
+        doubted.into_iter().for_each(|sess| self.setup_lost(sess, SetupOutcome::ConnectionLost));
         if over {
             self.node_over(node);
         }
@@ -1053,11 +1059,11 @@
         for link in links {
             let Some(l) = self.links.remove(&link) else { continue };
             self.effects.push(Effect::HangUp { link, at_once: true });
-            l.out.into_iter().for_each(|sess| self.setup_lost(sess, Ending::Broken));
+            l.out.into_iter().for_each(|sess| self.setup_lost(sess, SetupOutcome::ConnectionLost));
         }
         for sess in standing {
             let Some(conn) = self.sess.get(&sess).map(|s| s.conn) else { continue };
-            self.end(sess, node, Ending::Broken, LoadReport::default());
+            self.end(sess, node, SetupOutcome::ConnectionLost, LoadReport::default());
             self.tell_over(sess, conn, cause::FAILED);
             if !gone {
                 // It may have been cut off only, and then they stand there yet.
@@ -1093,7 +1099,7 @@
         self.log(text);
         self.hang_up_link(link, false);
         self.ask_again(node);
-        out.into_iter().for_each(|sess| self.setup_lost(sess, Ending::Withdrawn));
+        out.into_iter().for_each(|sess| self.setup_lost(sess, SetupOutcome::Withdrawn));
     }
 
     /// Tries a connection to a node of which there is doubt.
@@ -1138,7 +1144,7 @@
                     self.end(sess, node, media::ended(cause, anew), load);
                     self.tell_over(sess, conn, cause);
                 } else if self.is_out(sess, link) {
-                    self.setup_over(sess, Ending::Broken, load);
+                    self.setup_over(sess, SetupOutcome::ConnectionLost, load);
                 }
             }
             media::Word::Note { sess, note } => {
@@ -1146,11 +1152,11 @@
                     if let (Note::Link(asked), Some(n)) = (note, self.nodes.get_mut(&node)) {
                         n.told = asked;
                     }
-                    self.round.readings.push(match note {
-                        Note::Delivered(share) => Reading::Delivered { node, share },
-                        Note::Rung(rung) => Reading::Rung { sess, rung },
-                        Note::Link(asked) => Reading::Link { sess, node, asked },
-                        Note::Uplink(asked) => Reading::Uplink { sess, node, asked },
+                    self.round.measurements.push(match note {
+                        Note::Delivered(share) => Measurement::Delivered { node, share },
+                        Note::Rung(rung) => Measurement::Rung { sess, rung },
+                        Note::Link(asked) => Measurement::Link { sess, node, asked },
+                        Note::Uplink(asked) => Measurement::Uplink { sess, node, asked },
                     });
                 }
             }
@@ -1183,7 +1189,7 @@
         if s.left {
             // Nobody waits for it any more.
             self.effects.push(Effect::Node { link, bytes: media::release(sess, cause::CLEARED) });
-            return self.setup_over(sess, Ending::Withdrawn, LoadReport::default());
+            return self.setup_over(sess, SetupOutcome::Withdrawn, LoadReport::default());
         }
         s.stage = Stage::Stands;
         let (conn, took, ask) = (s.conn, now - s.sent, s.ask.take());
@@ -1229,14 +1235,14 @@
         NodeId(n)
     }
 
-    fn listed(&mut self, host: &Host) -> Option<Listed> {
+    fn listed(&mut self, host: &Host) -> Option<ListedNode> {
         let known = self.ids.get(&host.id).copied();
         if known.is_none() && host.phase == Phase::Gone {
             return None;
         }
         let id = known.unwrap_or_else(|| self.number(&host.id));
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let line = Listed {
+        let line = ListedNode {
             node: id,
             zone: place(&self.named.zones, &host.zone).map_or(0, |i| i as u16),
             kind: place(&self.named.kinds, &host.kind).map_or(u8::MAX, |i| i as u8),
@@ -1272,7 +1278,7 @@
         Some(line)
     }
 
-    fn fold(&mut self, change: &Change) -> Vec<Listed> {
+    fn fold(&mut self, change: &Change) -> Vec<ListedNode> {
         if change.whole {
             let named: BTreeSet<&str> = change.hosts.iter().map(|h| h.id.as_str()).collect();
             for n in self.nodes.values_mut().filter(|n| !named.contains(n.name.as_str())) {
@@ -1296,7 +1302,9 @@
             for link in links {
                 let Some(l) = self.links.get_mut(&link).filter(|l| !l.up) else { continue };
                 let waiting = std::mem::take(&mut l.out);
-                waiting.into_iter().for_each(|s| self.setup_over(s, Ending::Moot, LoadReport::default()));
+                waiting
+                    .into_iter()
+                    .for_each(|s| self.setup_over(s, SetupOutcome::NeverSent, LoadReport::default()));
             }
         }
     }
@@ -1374,7 +1382,7 @@
 }
 
 impl Orders for Hands {
-    fn rung(&mut self, sess: SessId, rung: u8) {
+    fn set_rung(&mut self, sess: SessId, rung: u8) {
         let Some(s) = self.sess.get_mut(&sess) else { return };
         s.rung = rung;
         if s.stage == Stage::Stands {
@@ -1383,12 +1391,18 @@
         }
     }
 
-    fn setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
+    fn send_setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
         let now = self.now;
         if !self.sess.contains_key(&sess) {
             // Nobody waits for it any more: the decisions are to count it out.
             let load = LoadReport::default();
-            return self.round.ended.push(Ended { sess, node, how: Ending::Moot, closed: true, load });
+            return self.round.ended.push(Ended {
+                sess,
+                node,
+                outcome: SetupOutcome::NeverSent,
+                closed: true,
+                load,
+            });
         }
         let link = self.link_for(node);
         let Some(s) = self.sess.get_mut(&sess) else { return };
@@ -1397,7 +1411,7 @@
         s.setup_due = Some(self.timers.set(s.until, Timer::SetupDue { sess }));
         let Some(link) = link else {
             // No descriptor is free for it: it never left.
-            return self.setup_over(sess, Ending::Moot, LoadReport::default());
+            return self.setup_over(sess, SetupOutcome::NeverSent, LoadReport::default());
         };
         (s.link, s.stage) = (link, Stage::Waiting);
         let Some(l) = self.links.get_mut(&link) else { return };
@@ -1409,16 +1423,16 @@
     }
 
     fn withdraw(&mut self, sess: SessId, _setup: u8) {
-        self.call_off(sess, Ending::Withdrawn);
+        self.call_off(sess, SetupOutcome::Withdrawn);
     }
 
-    fn busy(&mut self, sess: SessId, come_back: Option<f64>) {
+    fn reply_busy(&mut self, sess: SessId, come_back: Option<f64>) {
         self.answered[1] += 1;
         self.answer(sess, cause::BUSY, come_back);
         self.forget(sess);
     }
 
-    fn fail(&mut self, sess: SessId) {
+    fn reply_failed(&mut self, sess: SessId) {
         self.answered[2] += 1;
         self.answer(sess, cause::FAILED, None);
         self.forget(sess);
@@ -1443,7 +1457,7 @@
     // The platform's tests of nodes show that a connection works, which SETUPs and notes show too.
     fn probe(&mut self, _node: NodeId) {}
 
-    fn hang_up(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         let links = self.nodes.get(&node).map(|n| n.links.clone()).unwrap_or_default();
         for link in links {
             if self.links.get(&link).is_some_and(|l| l.up && l.out.is_empty()) {
@@ -1453,17 +1467,17 @@
     }
 
     // Directors have no way to talk to each other here.
-    fn tell(&mut self, _director: Option<u16>, _message: &[u8]) {}
+    fn send_message(&mut self, _director: Option<u16>, _message: &[u8]) {}
 
     fn log(&mut self, line: &str) {
         self.effects.push(Effect::Log(line.to_owned()));
     }
 
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         self.effects.push(Effect::Fault(why.to_owned()));
     }
 
-    fn wake(&mut self, after: f64) {
+    fn wake_after(&mut self, after: f64) {
         let at = self.now + after;
         self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
     }
--- a/crates/kelpdoor/tests/any_settings.rs
+++ b/crates/kelpdoor/tests/any_settings.rs
@@ -5,7 +5,9 @@
 
 use fastrand::Rng;
 use kelpdoor::ids::{GroupId, NodeId, SessId, TitleId};
-use kelpdoor::round::{Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase, Playing, Reading};
+use kelpdoor::round::{
+    Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase, Playing, SetupOutcome,
+};
 use kelpdoor::terms::{FurtherBudget, GroupTerms, Reach, Repeat, Terms};
 use kelpdoor::{Director, Orders, Round};
 
@@ -31,7 +33,7 @@
 struct Judge {
     now: f64,
     terms: Terms,
-    listed: BTreeMap<NodeId, Listed>,
+    listed: BTreeMap<NodeId, ListedNode>,
     held: BTreeMap<SessId, Held>,
     taken: Vec<f64>,
     further: Vec<f64>,
@@ -62,12 +64,12 @@
 }
 
 impl Orders for Judge {
-    fn rung(&mut self, sess: SessId, rung: u8) {
+    fn set_rung(&mut self, sess: SessId, rung: u8) {
         let (floor, top) = (self.group(sess).floor, self.held[&sess].ask.best_rung);
         assert!((floor..=top).contains(&rung), "rung {rung} is not within {floor} to {top}");
     }
 
-    fn setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
+    fn send_setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
         self.sent += 1;
         let (now, h) = (self.now, self.held.get(&sess).expect("still owed an answer"));
         assert!(h.out.is_none() && h.plays.is_none(), "two SETUPs of {sess:?} would be out");
@@ -113,7 +115,7 @@
         }
     }
 
-    fn busy(&mut self, sess: SessId, come_back: Option<f64>) {
+    fn reply_busy(&mut self, sess: SessId, come_back: Option<f64>) {
         self.busy += 1;
         let repeat = self.group(sess).repeat;
         let h = self.held.remove(&sess).expect("answered once");
@@ -122,7 +124,7 @@
         assert_eq!(come_back, self.terms.come_back, "with when to come back, where that may be said");
     }
 
-    fn fail(&mut self, sess: SessId) {
+    fn reply_failed(&mut self, sess: SessId) {
         self.failed += 1;
         let h = self.held.remove(&sess).expect("answered once");
         assert!(h.out.is_none() && h.plays.is_none() && self.now <= h.due + APART);
@@ -132,13 +134,13 @@
     fn subscribe(&mut self, _: bool) {}
     fn fetch_list(&mut self) {}
     fn probe(&mut self, _: NodeId) {}
-    fn hang_up(&mut self, _: NodeId) {}
-    fn tell(&mut self, _: Option<u16>, _: &[u8]) {}
+    fn close_idle_connections(&mut self, _: NodeId) {}
+    fn send_message(&mut self, _: Option<u16>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         panic!("{why}");
     }
-    fn wake(&mut self, _: f64) {}
+    fn wake_after(&mut self, _: f64) {}
 }
 
 fn settings(rng: &mut Rng) -> Terms {
@@ -204,10 +206,10 @@
     }
 }
 
-fn line(rng: &mut Rng, n: u32, now: f64) -> Listed {
+fn line(rng: &mut Rng, n: u32, now: f64) -> ListedNode {
     let up_since = if rng.u8(0..8) == 0 { now - rng.f64() } else { 0.0 };
     let phase = [Phase::Ready, Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(0..5)];
-    Listed {
+    ListedNode {
         node: NodeId(n),
         zone: (n % 2) as u16,
         kind: 0,
@@ -219,7 +221,7 @@
 }
 
 /// Takes `lines` into the round and into what the judge knows to be told.
-fn list(round: &mut Round, judge: &mut Judge, lines: Vec<Listed>) {
+fn list(round: &mut Round, judge: &mut Judge, lines: Vec<ListedNode>) {
     lines.iter().for_each(|l| {
         judge.listed.insert(l.node, *l);
     });
@@ -240,30 +242,43 @@
         if let Some(node) = h.plays {
             match rng.u8(0..30) {
                 0 => {
-                    let how = if rng.bool() { Ending::Served } else { Ending::Broken };
-                    round.ended.push(Ended { sess, node, how, closed: true, load });
+                    let outcome =
+                        if rng.bool() { SetupOutcome::Served } else { SetupOutcome::ConnectionLost };
+                    round.ended.push(Ended { sess, node, outcome, closed: true, load });
                     judge.held.remove(&sess);
                 }
-                1..6 => round.readings.push(Reading::Link { sess, node, asked: rng.f64() * 1.5 }),
-                6..8 => round.readings.push(Reading::Uplink { sess, node, asked: rng.f64() * 1.5 }),
-                8..11 => round.readings.push(Reading::Delivered { node, share: rng.f64() }),
+                1..6 => round.measurements.push(Measurement::Link { sess, node, asked: rng.f64() * 1.5 }),
+                6..8 => round.measurements.push(Measurement::Uplink { sess, node, asked: rng.f64() * 1.5 }),
+                8..11 => round.measurements.push(Measurement::Delivered { node, share: rng.f64() }),
                 _ => {}
             }
             continue;
         }
         let Some((node, until)) = h.out else { continue };
         if now >= until {
-            let how = if until < h.due { Ending::Withdrawn } else { Ending::TimedOut };
+            let outcome = if until < h.due { SetupOutcome::Withdrawn } else { SetupOutcome::TimedOut };
             judge.ended(sess, false);
-            round.ended.push(Ended { sess, node, how, closed: false, load });
+            round.ended.push(Ended { sess, node, outcome, closed: false, load });
         } else if rng.u8(0..6) == 0 {
             (h.out, h.plays) = (None, Some(node));
             round.playing.push(Playing { sess, node, took: now - h.sent });
         } else if rng.u8(0..6) == 0 {
-            let how = [Ending::BusyReplied, Ending::Unreachable, Ending::Moot, Ending::Erred, Ending::Broken];
-            let how = how[rng.usize(0..5)];
-            judge.ended(sess, matches!(how, Ending::BusyReplied | Ending::Unreachable | Ending::Moot));
-            round.ended.push(Ended { sess, node, how, closed: false, load });
+            let outcome = [
+                SetupOutcome::BusyReplied,
+                SetupOutcome::Unreachable,
+                SetupOutcome::NeverSent,
+                SetupOutcome::Failed,
+                SetupOutcome::ConnectionLost,
+            ];
+            let outcome = outcome[rng.usize(0..5)];
+            judge.ended(
+                sess,
+                matches!(
+                    outcome,
+                    SetupOutcome::BusyReplied | SetupOutcome::Unreachable | SetupOutcome::NeverSent
+                ),
+            );
+            round.ended.push(Ended { sess, node, outcome, closed: false, load });
         }
     }
 }
@@ -290,8 +305,8 @@
         judge.now += rng.f64() * APART;
         let (now, mut round) = (judge.now, Round::default());
         if k == 0 {
-            let lines: Vec<Listed> =
-                (0..NODES).map(|n| Listed { phase: Phase::Ready, ..line(&mut rng, n, now) }).collect();
+            let lines: Vec<ListedNode> =
+                (0..NODES).map(|n| ListedNode { phase: Phase::Ready, ..line(&mut rng, n, now) }).collect();
             judge.listed = lines.iter().map(|l| (l.node, *l)).collect();
             round.list_changes.push(ListChange::Cached(lines));
         } else if rng.u8(0..60) == 0 {
--- a/crates/kelpdoor/tests/cold_fleet.rs
+++ b/crates/kelpdoor/tests/cold_fleet.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use helper::terms;
 use kelpdoor::ids::{NodeId, SessId};
-use kelpdoor::round::{Ended, Ending, ListChange, Listed, LoadReport, Phase, Playing};
+use kelpdoor::round::{Ended, ListChange, ListedNode, LoadReport, Phase, Playing, SetupOutcome};
 use kelpdoor::terms::Terms;
 use kelpdoor::{Director, Orders, Round};
 
@@ -51,29 +51,29 @@
 struct Out(Vec<(SessId, NodeId)>);
 
 impl Orders for Out {
-    fn rung(&mut self, _: SessId, _: u8) {}
-    fn setup(&mut self, s: SessId, node: NodeId, _: Option<f64>) {
+    fn set_rung(&mut self, _: SessId, _: u8) {}
+    fn send_setup(&mut self, s: SessId, node: NodeId, _: Option<f64>) {
         self.0.push((s, node));
     }
     fn withdraw(&mut self, _: SessId, _: u8) {}
-    fn busy(&mut self, _: SessId, _: Option<f64>) {}
-    fn fail(&mut self, _: SessId) {}
+    fn reply_busy(&mut self, _: SessId, _: Option<f64>) {}
+    fn reply_failed(&mut self, _: SessId) {}
     fn shift(&mut self, _: SessId) {}
     fn subscribe(&mut self, _: bool) {}
     fn fetch_list(&mut self) {}
     fn probe(&mut self, _: NodeId) {}
-    fn hang_up(&mut self, _: NodeId) {}
-    fn tell(&mut self, _: Option<u16>, _: &[u8]) {}
+    fn close_idle_connections(&mut self, _: NodeId) {}
+    fn send_message(&mut self, _: Option<u16>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         panic!("{why}");
     }
-    fn wake(&mut self, _: f64) {}
+    fn wake_after(&mut self, _: f64) {}
 }
 
-fn line(node: u32, up_since: f64) -> Listed {
+fn line(node: u32, up_since: f64) -> ListedNode {
     let phase = Phase::Ready;
-    Listed { node: NodeId(node), zone: 0, kind: 0, cell: node as u16, phase, size: 1.0, up_since }
+    ListedNode { node: NodeId(node), zone: 0, kind: 0, cell: node as u16, phase, size: 1.0, up_since }
 }
 
 /// What comes back to a director: by when (in ticks), whose, what.
@@ -133,11 +133,11 @@
                 standing.iter().filter(|(_, s)| s.1 < case.cold).map(|(&id, _)| id).collect();
             for id in gone {
                 let Some((d, node)) = standing.remove(&id) else { continue };
-                let (sess, node, how) = (SessId(id), NodeId(node), Ending::Broken);
+                let (sess, node, outcome) = (SessId(id), NodeId(node), SetupOutcome::ConnectionLost);
                 rounds[d as usize].ended.push(Ended {
                     sess,
                     node,
-                    how,
+                    outcome,
                     closed: true,
                     load: LoadReport::default(),
                 });
@@ -172,8 +172,8 @@
                 round.playing.push(Playing { sess, node: at, took: SET_UP });
                 back.push(std::cmp::Reverse((tick + (LIFE / TICK) as u64, d, id, node, true)));
             } else if standing.remove(&id).is_some() {
-                let (how, load) = (Ending::Served, LoadReport::default());
-                round.ended.push(Ended { sess, node: at, how, closed: true, load });
+                let (outcome, load) = (SetupOutcome::Served, LoadReport::default());
+                round.ended.push(Ended { sess, node: at, outcome, closed: true, load });
             }
         }
         for d in 0..case.directors {
--- a/crates/kelpdoor/tests/helper/mod.rs
+++ b/crates/kelpdoor/tests/helper/mod.rs
@@ -5,7 +5,9 @@
 use std::fmt::Write;
 
 use kelpdoor::ids::{GroupId, NodeId, SessId, TitleId};
-use kelpdoor::round::{Ended, Ending, ListChange, Listed, LoadReport, NewSession, Phase, Playing, Reading};
+use kelpdoor::round::{
+    Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase, Playing, SetupOutcome,
+};
 use kelpdoor::terms::{GroupTerms, Repeat, Terms};
 use kelpdoor::{Director, Orders, Round};
 
@@ -30,10 +32,10 @@
 }
 
 impl Orders for Trace {
-    fn rung(&mut self, s: SessId, rung: u8) {
+    fn set_rung(&mut self, s: SessId, rung: u8) {
         self.line(format_args!("sess {} rung {rung}", s.0));
     }
-    fn setup(&mut self, s: SessId, node: NodeId, wait: Option<f64>) {
+    fn send_setup(&mut self, s: SessId, node: NodeId, wait: Option<f64>) {
         let wait = wait.map_or("as long as the viewer".into(), |w| format!("{w:.2}"));
         self.line(format_args!("sess {} SETUP at {}, wait {wait}", s.0, node.0));
         self.sent.push((s, node));
@@ -41,10 +43,10 @@
     fn withdraw(&mut self, s: SessId, setup: u8) {
         self.line(format_args!("sess {} withdraw {setup}", s.0));
     }
-    fn busy(&mut self, s: SessId, back: Option<f64>) {
+    fn reply_busy(&mut self, s: SessId, back: Option<f64>) {
         self.line(format_args!("sess {} busy, come back {back:?}", s.0));
     }
-    fn fail(&mut self, s: SessId) {
+    fn reply_failed(&mut self, s: SessId) {
         self.line(format_args!("sess {} fail", s.0));
     }
     fn shift(&mut self, s: SessId) {
@@ -59,19 +61,19 @@
     fn probe(&mut self, node: NodeId) {
         self.line(format_args!("probe {}", node.0));
     }
-    fn hang_up(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.line(format_args!("hang up on {}", node.0));
     }
-    fn tell(&mut self, director: Option<u16>, message: &[u8]) {
+    fn send_message(&mut self, director: Option<u16>, message: &[u8]) {
         self.line(format_args!("tell {director:?} {message:?}"));
     }
     fn log(&mut self, line: &str) {
         self.line(format_args!("log {line}"));
     }
-    fn fault(&mut self, why: &str) {
+    fn report_fault(&mut self, why: &str) {
         self.line(format_args!("fault {why}"));
     }
-    fn wake(&mut self, _: f64) {}
+    fn wake_after(&mut self, _: f64) {}
 }
 
 /// Two racks, six cells, a ladder of three; a node's link carries ten sessions at the middle rung.
@@ -116,8 +118,8 @@
     }
 }
 
-pub fn line(node: u32, phase: Phase, up_since: f64) -> Listed {
-    Listed { node: NodeId(node), zone: 0, kind: 0, cell: node as u16, phase, size: 1.0, up_since }
+pub fn line(node: u32, phase: Phase, up_since: f64) -> ListedNode {
+    ListedNode { node: NodeId(node), zone: 0, kind: 0, cell: node as u16, phase, size: 1.0, up_since }
 }
 
 /// A viewer of a title that lies on the first `cells` nodes.
@@ -165,7 +167,7 @@
     pub fn hand_over(&mut self, sess: u64, node: u32, rung: u8) {
         self.round(|r| {
             r.handed_over.push((viewer(sess, 6), NodeId(node)));
-            r.readings.push(Reading::Rung { sess: SessId(sess), rung });
+            r.measurements.push(Measurement::Rung { sess: SessId(sess), rung });
         });
     }
 
@@ -174,15 +176,15 @@
     }
 
     /// The SETUP of a session ended in that way, at the node it was sent to last.
-    pub fn ends(&mut self, sess: u64, how: Ending) {
+    pub fn ends(&mut self, sess: u64, outcome: SetupOutcome) {
         let node = self.trace.sent.iter().rev().find(|s| s.0 == SessId(sess)).expect("was sent").1;
-        self.ends_at(sess, node.0, how, None);
+        self.ends_at(sess, node.0, outcome, None);
     }
 
-    pub fn ends_at(&mut self, sess: u64, node: u32, how: Ending, streams: Option<f64>) {
+    pub fn ends_at(&mut self, sess: u64, node: u32, outcome: SetupOutcome, streams: Option<f64>) {
         let (sess, node) = (SessId(sess), NodeId(node));
         let load = LoadReport { streams, ..LoadReport::default() };
-        self.round(|r| r.ended.push(Ended { sess, node, how, closed: false, load }));
+        self.round(|r| r.ended.push(Ended { sess, node, outcome, closed: false, load }));
     }
 
     pub fn plays(&mut self, sess: u64) {
@@ -191,10 +193,12 @@
     }
 
     pub fn full(&mut self, sess: u64, node: u32, asked: f64) {
-        self.round(|r| r.readings.push(Reading::Link { sess: SessId(sess), node: NodeId(node), asked }));
+        self.round(|r| {
+            r.measurements.push(Measurement::Link { sess: SessId(sess), node: NodeId(node), asked })
+        });
     }
 
     pub fn delivered(&mut self, node: u32, share: f64) {
-        self.round(|r| r.readings.push(Reading::Delivered { node: NodeId(node), share }));
+        self.round(|r| r.measurements.push(Measurement::Delivered { node: NodeId(node), share }));
     }
 }
