--- a/crates/kelpdoor-agreement/src/keys.rs
+++ b/crates/kelpdoor-agreement/src/keys.rs
@@ -399,7 +399,9 @@
 ///
 /// # Errors
 /// The first reason against it, naming the key. `sure` passes over the reasons that ask for a word.
-pub fn check_transition(old: &AgreedSettings, new: &AgreedSettings, sure: bool) -> Result<Vec<Change>, String> {
+pub fn check_transition(
+    old: &AgreedSettings, new: &AgreedSettings, sure: bool,
+) -> Result<Vec<Change>, String> {
     let (_, changes) = merge_documents(old, new);
     if let Some(c) = changes.iter().find(|c| c.class == KeyClass::Fixed) {
         return Err(format!("{}: it cannot change while the fleet runs, from {} to {}", c.key, c.old, c.new));
