--- a/crates/kelpdoor-platform/src/changes.rs
+++ b/crates/kelpdoor-platform/src/changes.rs
@@ -25,10 +25,10 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct FleetChange {
     pub number: u64,
     /// The hosts are all there are.
-    pub whole: bool,
+    pub is_snapshot: bool,
     pub hosts: Vec<Host>,
 }
 
@@ -89,21 +89,27 @@
     })
 }
 
-fn change(event: Event) -> Result<Change, String> {
+fn change(event: Event) -> Result<FleetChange, String> {
     let number = event.seq;
-    let Some(fleet) = event.fleet else { return Ok(Change { number, whole: false, hosts: Vec::new() }) };
+    let Some(fleet) = event.fleet else {
+        return Ok(FleetChange { number, is_snapshot: false, hosts: Vec::new() });
+    };
     if fleet.hosts.len() > MOST_HOSTS {
         return Err(format!("event {number} lists {} hosts", fleet.hosts.len()));
     }
     let hosts: Result<Vec<Host>, String> = fleet.hosts.into_iter().map(host).collect();
-    Ok(Change { number, whole: fleet.whole, hosts: hosts.map_err(|e| format!("event {number}: {e}"))? })
+    Ok(FleetChange {
+        number,
+        is_snapshot: fleet.whole,
+        hosts: hosts.map_err(|e| format!("event {number}: {e}"))?,
+    })
 }
 
 /// Reads one event's data.
 ///
 /// # Errors
 /// What is wrong with it; the event counts as not told.
-pub fn read_event(data: &str) -> Result<Change, String> {
+pub fn parse_event(data: &str) -> Result<FleetChange, String> {
     change(serde_json::from_str(data).map_err(|e| e.to_string())?)
 }
 
@@ -111,10 +117,10 @@
 ///
 /// # Errors
 /// What is wrong, with the event's number where it has one.
-pub fn read_known(known: &Value) -> Result<(Vec<Change>, u64), String> {
+pub fn parse_known_events(known: &Value) -> Result<(Vec<FleetChange>, u64), String> {
     let last = known["seq"].as_u64().ok_or("no number under seq")?;
     let events = known["results"].as_array().ok_or("no list under results")?;
-    let changes: Result<Vec<Change>, String> =
+    let changes: Result<Vec<FleetChange>, String> =
         events.iter().map(|e| change(Event::deserialize(e).map_err(|e| e.to_string())?)).collect();
     Ok((changes?, last))
 }
--- a/crates/kelpdoor-platform/src/changes/tests.rs
+++ b/crates/kelpdoor-platform/src/changes/tests.rs
@@ -13,8 +13,8 @@
         r#"{"fleet":{}}"#.to_owned(),
         line[..40].to_owned(),
     ]
-    .map(|text| match read_event(&text) {
-        Ok(c) => format!("{} {} {:?}", c.number, c.whole, c.hosts.first()),
+    .map(|text| match parse_event(&text) {
+        Ok(c) => format!("{} {} {:?}", c.number, c.is_snapshot, c.hosts.first()),
         Err(e) => e,
     });
     expect![[r#"
--- a/crates/kelpdoor-platform/src/exchange.rs
+++ b/crates/kelpdoor-platform/src/core.rs
@@ -20,11 +20,11 @@
 use kelpdoor_rtsp::Message;
 use kelpdoor_terms::{Named, ReportFields};
 
-use crate::changes::{Change, Host};
-use crate::media::{self, Note};
-use crate::pulse::{OWED_AGAIN, Pulse};
-use crate::start::Start;
-use crate::viewer::{self, Ask, Bad, Reply, cause};
+use crate::changes::{FleetChange, Host};
+use crate::liveness::{Liveness, RELEASE_RETRY_INTERVAL};
+use crate::media::{self, NodeNotification};
+use crate::startup::StartupConfig;
+use crate::viewer::{self, MessageError, Reply, SetupRequest, cause};
 
 /// s; an answer is written so long before its viewer gives up, for the way and a late turn of ours.
 const ANSWER_AHEAD: f64 = 0.03;
@@ -36,7 +36,7 @@
 /// Set-ups open in all.
 const OPEN: usize = 1024;
 /// Of the memory, for the descriptions of open set-ups; the same for what waits for peers, in the shell.
-pub const PART_EACH: usize = 8;
+pub const MEMORY_DIVISOR: usize = 8;
 /// Of the memory, for sessions that stand; and bytes that one takes, with what the decisions keep of it.
 const STANDING: (usize, usize) = (4, 640);
 /// Connections to one node at most; SETUPs beyond share them.
@@ -65,98 +65,98 @@
 
 /// Why a connection to a node did not come up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum ConnectFailure {
     Refused,
     /// Not in time, or the network has no way there.
-    Silent,
+    Unreachable,
     /// For want of something of our own, as of descriptors: it says nothing of the node.
-    Ours,
+    LocalResources,
 }
 
 #[derive(Clone, Debug)]
 pub enum Input {
-    ViewerUp {
+    ViewerConnected {
         conn: u64,
     },
-    Viewer {
+    ViewerMessage {
         conn: u64,
-        word: Result<viewer::Word, Bad>,
+        message: Result<viewer::ViewerMessage, MessageError>,
     },
     /// A line that never ends: nothing after it can be read.
-    ViewerOverlong {
+    ViewerLineTooLong {
         conn: u64,
     },
-    ViewerLost {
+    ViewerDisconnected {
         conn: u64,
     },
-    LinkUp {
+    LinkConnected {
         link: u64,
     },
     LinkFailed {
         link: u64,
-        how: Failed,
+        failure: ConnectFailure,
         /// In words, for the log.
         why: String,
     },
-    Node {
+    NodeMessage {
         link: u64,
         message: Message,
     },
     /// What came cannot be read; the connection is of no further use.
-    LinkSpoilt {
+    LinkCorrupted {
         link: u64,
         why: String,
     },
-    LinkLost {
+    LinkDisconnected {
         link: u64,
     },
-    Change(Change),
+    Change(FleetChange),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    Viewer {
+    SendViewer {
         conn: u64,
         bytes: Vec<u8>,
     },
     /// Close when what was sent is out.
-    ShutViewer {
+    CloseViewer {
         conn: u64,
     },
-    Dial {
+    ConnectLink {
         link: u64,
         address: SocketAddr,
     },
-    Node {
+    SendNode {
         link: u64,
         bytes: Vec<u8>,
     },
     /// Closes a connection; `at_once` without waiting for what is on its way, which must not come late; else what the node
     /// said before it saw the close is still taken in, until it closes too.
-    HangUp {
+    CloseLink {
         link: u64,
-        at_once: bool,
+        immediate: bool,
     },
     Log(String),
-    Fault(String),
+    InternalError(String),
 }
 
 /// What is held at the moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    pub open: usize,
-    pub standing: usize,
+    pub open_setups: usize,
+    pub active_sessions: usize,
     pub viewers: usize,
     pub links: usize,
     pub nodes: usize,
-    pub owed: usize,
+    pub pending: usize,
     pub timers: usize,
     /// Addresses of nodes that are kept.
     pub addresses: usize,
     /// Bytes of descriptions of open set-ups.
-    pub bytes: usize,
+    pub description_bytes: usize,
     /// Set-ups that came, since the start.
-    pub came: u64,
+    pub setups_received: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -187,7 +187,7 @@
     answer_due: Option<Due>,
     setup_due: Option<Due>,
     /// Until it stands.
-    ask: Option<Box<Ask>>,
+    ask: Option<Box<SetupRequest>>,
 }
 
 struct Viewer {
@@ -230,7 +230,7 @@
     doubted: BTreeSet<SessId>,
     /// And since when.
     owed: VecDeque<(f64, Owed)>,
-    pulse: Pulse,
+    pulse: Liveness,
     /// Why the last try to reach it failed, in words.
     unreached: String,
     /// Since when a connection to it has been up without a gap: through all that time it was one process.
@@ -277,26 +277,26 @@
     next_link: u64,
     /// s; a connection to a node that is idle for so long takes no SETUP.
     link_stale: f64,
-    most_viewers: usize,
+    max_viewers: usize,
     most_links: usize,
     most_standing: usize,
     most_bytes: usize,
     answered: [u64; 3],
 }
 
-pub struct Exchange {
+pub struct SessionCore {
     director: Director,
     hands: Hands,
 }
 
-impl Exchange {
-    pub fn new(start: &Start, now: f64) -> Self {
-        let room = start.sockets.saturating_sub(OTHER_SOCKETS);
+impl SessionCore {
+    pub fn new(start: &StartupConfig, now: f64) -> Self {
+        let room = start.max_sockets.saturating_sub(OTHER_SOCKETS);
         let hands = Hands {
             now,
             wake: Some(now),
-            named: start.named.clone(),
-            report: start.report.clone(),
+            named: start.names.clone(),
+            report: start.report_fields.clone(),
             cells: start.terms.cells,
             racks: u32::from(start.terms.racks.max(1)),
             rungs: u8::try_from(start.terms.ladder.len()).unwrap_or(u8::MAX),
@@ -320,41 +320,41 @@
             timers: Timers::default(),
             next_sweep: now,
             next_link: 0,
-            link_stale: if start.named.idle > 0.0 { LINK_STALE * start.named.idle } else { f64::INFINITY },
-            most_viewers: room / 2,
+            link_stale: if start.names.idle > 0.0 { LINK_STALE * start.names.idle } else { f64::INFINITY },
+            max_viewers: room / 2,
             most_links: room - room / 2,
-            most_standing: start.memory / STANDING.0 / STANDING.1,
-            most_bytes: start.memory / PART_EACH,
+            most_standing: start.max_memory / STANDING.0 / STANDING.1,
+            most_bytes: start.max_memory / MEMORY_DIVISOR,
             answered: [0; 3],
         };
-        let mut exchange = Exchange { director: Director::new(&start.terms, start.seed, now), hands };
-        exchange.hands.known(&start.known);
+        let mut exchange = SessionCore { director: Director::new(&start.terms, start.seed, now), hands };
+        exchange.hands.known(&start.known_changes);
         exchange
     }
 
     /// Takes something in that came `waited` seconds ago; it acts with the next [`round`](Self::round).
-    pub fn take(&mut self, now: f64, waited: f64, input: Input) {
+    pub fn handle_input(&mut self, now: f64, waited: f64, input: Input) {
         let h = &mut self.hands;
         h.now = h.now.max(now);
         match input {
-            Input::ViewerUp { conn } => h.viewer_up(conn),
-            Input::Viewer { conn, word } => h.viewer(conn, waited, word),
-            Input::ViewerOverlong { conn } => {
-                h.finish(conn, None, cause::UNREADABLE, None);
+            Input::ViewerConnected { conn } => h.viewer_up(conn),
+            Input::ViewerMessage { conn, message } => h.viewer(conn, waited, message),
+            Input::ViewerLineTooLong { conn } => {
+                h.finish(conn, None, cause::PROTOCOL_ERROR, None);
                 h.viewer_off(conn, true);
             }
-            Input::ViewerLost { conn } => h.viewer_off(conn, false),
-            Input::LinkUp { link } => h.link_up(link),
-            Input::LinkFailed { link, how, why } => h.link_failed(link, how, why),
-            Input::Node { link, message } => h.node(link, message),
-            Input::LinkSpoilt { link, why } => h.link_spoilt(link, &why),
-            Input::LinkLost { link } => h.link_lost(link),
+            Input::ViewerDisconnected { conn } => h.viewer_off(conn, false),
+            Input::LinkConnected { link } => h.link_up(link),
+            Input::LinkFailed { link, failure, why } => h.link_failed(link, failure, why),
+            Input::NodeMessage { link, message } => h.node(link, message),
+            Input::LinkCorrupted { link, why } => h.link_spoilt(link, &why),
+            Input::LinkDisconnected { link } => h.link_lost(link),
             Input::Change(change) => h.change(&change),
         }
     }
 
     /// Fires what is due, asks the decisions, and writes what is to be done.
-    pub fn round(&mut self, now: f64, out: &mut impl FnMut(Effect)) {
+    pub fn run_round(&mut self, now: f64, out: &mut impl FnMut(Effect)) {
         let h = &mut self.hands;
         h.now = h.now.max(now);
         while let Some(timer) = h.timers.pop(h.now) {
@@ -379,24 +379,24 @@
     }
 
     /// Refuses set-ups from now on, with when to come back.
-    pub fn close(&mut self) {
+    pub fn refuse_setups(&mut self) {
         self.hands.closing = true;
     }
 
     /// Closes viewers' connections on which nothing is open, so that what crosses that is sent again elsewhere.
-    pub fn shut_viewers(&mut self) {
+    pub fn close_idle_viewers(&mut self) {
         let free: Vec<u64> =
             self.hands.viewers.iter().filter(|(_, v)| v.open.is_empty()).map(|(&conn, _)| conn).collect();
         free.into_iter().for_each(|conn| self.hands.viewer_off(conn, true));
     }
 
     /// Viewers' connections held at most.
-    pub fn most_viewers(&self) -> usize {
-        self.hands.most_viewers
+    pub fn max_viewers(&self) -> usize {
+        self.hands.max_viewers
     }
 
     /// When a round is due though nothing comes in.
-    pub fn wake_at(&self) -> f64 {
+    pub fn next_timer_at(&self) -> f64 {
         let h = &self.hands;
         let more = !h.round.ended.is_empty() || !h.round.departures.is_empty();
         let due = [h.wake, h.timers.next(), Some(h.next_sweep), more.then_some(h.now)];
@@ -413,28 +413,28 @@
     pub fn counts(&self) -> Counts {
         let h = &self.hands;
         Counts {
-            open: h.open,
-            standing: h.standing,
+            open_setups: h.open,
+            active_sessions: h.standing,
             viewers: h.viewers.len(),
             links: h.links.len() - h.closing_links,
             nodes: h.nodes.values().filter(|n| n.phase != Phase::Gone).count(),
-            owed: h.untold.len() + h.nodes.values().map(|n| n.owed.len()).sum::<usize>(),
+            pending: h.untold.len() + h.nodes.values().map(|n| n.owed.len()).sum::<usize>(),
             timers: h.timers.len(),
             addresses: h.by_address.len(),
-            bytes: h.bytes,
-            came: h.came,
+            description_bytes: h.bytes,
+            setups_received: h.came,
         }
     }
 
     /// One line of what is believed: what is held and answered, and for each node its phase's first letter, whether tries to
     /// reach it fail, what stands and is out there, its connections, its share, and how full its link is taken to be, was
     /// last said to be, and how full its rack's uplink is taken to be.
-    pub fn belief(&self) -> String {
+    pub fn status_line(&self) -> String {
         let (h, c) = (&self.hands, self.counts());
         let [served, busy, failed] = h.answered;
         let mut line = format!(
             "open {} standing {} viewers {} links {} owed {} served {served} busy {busy} failed {failed};",
-            c.open, c.standing, c.viewers, c.links, c.owed
+            c.open_setups, c.active_sessions, c.viewers, c.links, c.pending
         );
         for (&id, n) in &h.nodes {
             let out: usize = n.links.iter().filter_map(|l| h.links.get(l)).map(|l| l.out.len()).sum();
@@ -465,7 +465,7 @@
     // Viewers.
 
     fn viewer_up(&mut self, conn: u64) {
-        if self.viewers.len() >= self.most_viewers {
+        if self.viewers.len() >= self.max_viewers {
             // The one that has said nothing useful for the longest gives way; those with open set-ups never do.
             let idle = self.viewers.iter().filter(|(_, v)| v.open.is_empty());
             let Some((&oldest, _)) = idle.min_by(|a, b| {
@@ -473,7 +473,7 @@
                     .partial_cmp(&(b.1.trusted, b.1.stand > 0, b.1.last))
                     .unwrap_or(std::cmp::Ordering::Equal)
             }) else {
-                return self.effects.push(Effect::ShutViewer { conn });
+                return self.effects.push(Effect::CloseViewer { conn });
             };
             self.viewer_off(oldest, true);
         }
@@ -481,10 +481,10 @@
         self.viewers.insert(conn, viewer);
     }
 
-    fn viewer(&mut self, conn: u64, waited: f64, word: Result<viewer::Word, Bad>) {
+    fn viewer(&mut self, conn: u64, waited: f64, word: Result<viewer::ViewerMessage, MessageError>) {
         if !self.viewers.contains_key(&conn) {
             // Read before its connection was closed for another's place: what was taken is answered, if it still can be.
-            if let Ok(viewer::Word::Start(sess, ask)) = word
+            if let Ok(viewer::ViewerMessage::Start(sess, ask)) = word
                 && ask.at.is_none()
             {
                 self.refuse(conn, sess);
@@ -492,14 +492,14 @@
             return;
         }
         match word {
-            Ok(viewer::Word::Start(sess, ask)) => self.start(conn, waited, sess, ask),
-            Ok(viewer::Word::Finish(sess)) => self.finished(conn, sess),
-            Ok(viewer::Word::Echo(sess)) => {
+            Ok(viewer::ViewerMessage::Start(sess, ask)) => self.start(conn, waited, sess, ask),
+            Ok(viewer::ViewerMessage::Finish(sess)) => self.finished(conn, sess),
+            Ok(viewer::ViewerMessage::Echo(sess)) => {
                 self.touch(conn);
-                let bytes = viewer::write(Some(sess), Reply::Echoed);
-                self.effects.push(Effect::Viewer { conn, bytes });
+                let bytes = viewer::encode(Some(sess), Reply::Echoed);
+                self.effects.push(Effect::SendViewer { conn, bytes });
             }
-            Ok(viewer::Word::Free) => {}
+            Ok(viewer::ViewerMessage::Ignored) => {}
             Err(bad) => self.bad(conn, &bad),
         }
     }
@@ -511,7 +511,7 @@
     }
 
     /// What cannot be used costs its line, and the connection once nothing is open on it.
-    fn bad(&mut self, conn: u64, bad: &Bad) {
+    fn bad(&mut self, conn: u64, bad: &MessageError) {
         self.log(format!("viewers' connection {conn}: {}", bad.why));
         match bad.sess {
             Some(sess) if self.sess.contains_key(&sess) => self.doubled(conn, sess),
@@ -525,7 +525,7 @@
     fn doubled(&mut self, conn: u64, sess: SessId) {
         let Some(s) = self.sess.get(&sess) else { return };
         if s.conn == conn && s.stage != Stage::Stands && !s.left {
-            self.finish(conn, Some(sess), cause::UNUSABLE, None);
+            self.finish(conn, Some(sess), cause::INVALID_CONTENTS, None);
             self.depart(sess);
             self.unopen(conn, sess);
         }
@@ -545,12 +545,16 @@
         self.open -= v.open.len();
         v.open.into_iter().for_each(|sess| self.depart(sess));
         if ours {
-            self.effects.push(Effect::ShutViewer { conn });
+            self.effects.push(Effect::CloseViewer { conn });
         }
     }
 
-    fn start(&mut self, conn: u64, waited: f64, sess: SessId, ask: Box<Ask>) {
-        let unusable = |why: &str| Bad { sess: Some(sess), cause: cause::UNUSABLE, why: why.to_owned() };
+    fn start(&mut self, conn: u64, waited: f64, sess: SessId, ask: Box<SetupRequest>) {
+        let unusable = |why: &str| MessageError {
+            sess: Some(sess),
+            cause: cause::INVALID_CONTENTS,
+            why: why.to_owned(),
+        };
         let Some(group) = self.named.groups.iter().position(|g| *g == ask.class) else {
             return self.bad(conn, &unusable("no such class"));
         };
@@ -568,7 +572,7 @@
                 // Sent again while its first SETUP is being taken back; nobody else is owed a word under this id.
                 return self.refuse(conn, sess);
             }
-            if held.conn != conn && held.ask.as_ref().is_some_and(|a| a.sent_again(&ask)) {
+            if held.conn != conn && held.ask.as_ref().is_some_and(|a| a.is_same_setup(&ask)) {
                 // Sent again on a new connection, the old one having closed under it: answered there.
                 let old = std::mem::replace(&mut held.conn, conn);
                 if self.viewers.get_mut(&old).is_some_and(|v| v.open.remove(&sess)) {
@@ -582,7 +586,7 @@
             sess,
             group: GroupId(group as u8),
             title: ask.title,
-            setup_timeout: ask.left - waited - ANSWER_AHEAD,
+            setup_timeout: ask.time_left - waited - ANSWER_AHEAD,
             first_cell: ask.first_cell,
             cells: ask.cells,
             best_rung: ask.best_rung,
@@ -640,16 +644,16 @@
     fn refuse(&mut self, conn: u64, sess: SessId) {
         self.touch(conn);
         self.answered[1] += 1;
-        self.finish(conn, Some(sess), cause::BUSY, self.come_back);
+        self.finish(conn, Some(sess), cause::CONGESTION, self.come_back);
     }
 
     /// What was not answered by now never will be: the decisions gave up on it in some way that we do not know.
     fn answer_due(&mut self, sess: SessId) {
         let Some(s) = self.sess.get(&sess).filter(|s| s.stage != Stage::Stands && !s.left) else { return };
         let conn = s.conn;
-        self.log(format!("session {} was left without an answer", viewer::tag(sess)));
+        self.log(format!("session {} was left without an answer", viewer::format_session_id(sess)));
         self.answered[2] += 1;
-        self.finish(conn, Some(sess), cause::FAILED, None);
+        self.finish(conn, Some(sess), cause::TEMPORARY_FAILURE, None);
         self.depart(sess);
         self.unopen(conn, sess);
     }
@@ -677,7 +681,7 @@
             let node = s.node;
             self.touch(conn);
             self.end(sess, node, Ending::Withdrawn, LoadReport::default());
-            self.send_or_owe(node, Owed::Release(sess, cause::CLEARED));
+            self.send_or_owe(node, Owed::Release(sess, cause::NORMAL_CLEARING));
         } else if s.conn == conn && !s.left {
             self.depart(sess);
             self.unopen(conn, sess);
@@ -719,8 +723,8 @@
     }
 
     fn finish(&mut self, conn: u64, sess: Option<SessId>, cause: u32, wait: Option<f64>) {
-        let bytes = viewer::write(sess, Reply::Finish { cause, wait });
-        self.effects.push(Effect::Viewer { conn, bytes });
+        let bytes = viewer::encode(sess, Reply::Finish { cause, wait });
+        self.effects.push(Effect::SendViewer { conn, bytes });
     }
 
     /// Tells a viewer that its session is over: on its connection, on any that was served, or on the next such.
@@ -827,7 +831,7 @@
             (l.closing, l.up) = (true, false);
             self.closing_links += 1;
         }
-        self.effects.push(Effect::HangUp { link, at_once });
+        self.effects.push(Effect::CloseLink { link, immediate: at_once });
     }
 
     /// Gives up a SETUP: its node is told, and a late answer will be released.
@@ -843,7 +847,7 @@
                 self.setup_over(sess, how, LoadReport::default());
             }
             Stage::Out => {
-                self.effects.push(Effect::Node { link, bytes: media::give_up(sess) });
+                self.effects.push(Effect::SendNode { link, bytes: media::cancel_setup(sess) });
                 self.remember_given_up(sess, node);
                 let spoke = self.nodes.get(&node).is_some_and(|n| n.pulse.heard_since(sent));
                 if let Some(l) = self.links.get_mut(&link) {
@@ -866,7 +870,7 @@
         }
         self.remember_given_up(sess, node);
         if self.nodes.get(&node).is_some_and(|n| !n.pulse.refused()) {
-            self.send_or_owe(node, Owed::Release(sess, cause::CLEARED));
+            self.send_or_owe(node, Owed::Release(sess, cause::NORMAL_CLEARING));
         }
         self.setup_over(sess, how, LoadReport::default());
     }
@@ -885,7 +889,7 @@
         let (used, out) = (self.now, BTreeSet::new());
         let new = Link { node, up: false, out, used, tired: false, silent: false, closing: false };
         self.links.insert(link, new);
-        self.effects.push(Effect::Dial { link, address });
+        self.effects.push(Effect::ConnectLink { link, address });
         Some(link)
     }
 
@@ -950,13 +954,13 @@
 
     fn send_owed(&mut self, link: u64, owed: Owed) {
         let bytes = match owed {
-            Owed::Release(sess, why) => media::release(sess, why),
+            Owed::Release(sess, why) => media::teardown(sess, why),
             Owed::Rung(sess) => match self.sess.get(&sess) {
-                Some(s) if s.stage == Stage::Stands => media::rung(sess, s.rung),
+                Some(s) if s.stage == Stage::Stands => media::set_rung(sess, s.rung),
                 _ => return,
             },
         };
-        self.effects.push(Effect::Node { link, bytes });
+        self.effects.push(Effect::SendNode { link, bytes });
     }
 
     fn link_up(&mut self, link: u64) {
@@ -990,7 +994,7 @@
         self.given_up.insert((sess, node), until);
     }
 
-    fn link_failed(&mut self, link: u64, how: Failed, why: String) {
+    fn link_failed(&mut self, link: u64, how: ConnectFailure, why: String) {
         let Some(l) = self.links.remove(&link) else { return };
         if l.closing {
             self.closing_links -= 1;
@@ -999,10 +1003,10 @@
         if let Some(n) = self.nodes.get_mut(&l.node) {
             n.links.remove(&link);
         }
-        let ending = if how == Failed::Ours { Ending::Moot } else { Ending::Unreachable };
+        let ending = if how == ConnectFailure::LocalResources { Ending::Moot } else { Ending::Unreachable };
         l.out.into_iter().for_each(|sess| self.setup_over(sess, ending, LoadReport::default()));
-        if how != Failed::Ours {
-            self.unreached(l.node, how == Failed::Refused, why);
+        if how != ConnectFailure::LocalResources {
+            self.unreached(l.node, how == ConnectFailure::Refused, why);
         }
     }
 
@@ -1037,7 +1041,7 @@
         let again = if gone {
             "tried again with the next SETUP to it".to_owned()
         } else {
-            format!("tried again every {OWED_AGAIN} s to release them")
+            format!("tried again every {RELEASE_RETRY_INTERVAL} s to release them")
         };
         let text = format!(
             "{} cannot be reached ({}): {} sessions there are over; {again}",
@@ -1048,16 +1052,16 @@
         self.log(text);
         for link in links {
             let Some(l) = self.links.remove(&link) else { continue };
-            self.effects.push(Effect::HangUp { link, at_once: true });
+            self.effects.push(Effect::CloseLink { link, immediate: true });
             l.out.into_iter().for_each(|sess| self.setup_lost(sess, Ending::Broken));
         }
         for sess in standing {
             let Some(conn) = self.sess.get(&sess).map(|s| s.conn) else { continue };
             self.end(sess, node, Ending::Broken, LoadReport::default());
-            self.tell_over(sess, conn, cause::FAILED);
+            self.tell_over(sess, conn, cause::TEMPORARY_FAILURE);
             if !gone {
                 // It may have been cut off only, and then they stand there yet.
-                self.send_or_owe(node, Owed::Release(sess, cause::FAILED));
+                self.send_or_owe(node, Owed::Release(sess, cause::TEMPORARY_FAILURE));
             }
         }
     }
@@ -1119,38 +1123,40 @@
         if let Some(n) = self.nodes.get_mut(&node) {
             n.pulse.heard(self.now);
         }
-        match media::read(message, &self.report) {
-            media::Word::Stands { sess, blob, load: _ } => self.set_up(link, node, sess, blob),
-            media::Word::Refused { sess, how, load } => {
+        match media::interpret(message, &self.report) {
+            media::NodeMessage::SetupAccepted { sess, blob, load: _ } => self.set_up(link, node, sess, blob),
+            media::NodeMessage::SetupRefused { sess, how, load } => {
                 if self.is_out(sess, link) {
                     self.setup_over(sess, how, load);
                 }
             }
-            media::Word::Released { sess, cause, cseq, load } => {
-                self.reply(link, media::heard(sess, cseq));
+            media::NodeMessage::SessionEnded { sess, cause, cseq, load } => {
+                self.reply(link, media::acknowledge(sess, cseq));
                 let stands = self.sess.get(&sess).filter(|s| s.stage == Stage::Stands && s.node == node);
                 if let Some((conn, sent)) = stands.map(|s| (s.conn, s.sent)) {
                     let anew = self.nodes.get(&node).is_some_and(|n| n.linked_since > sent);
-                    self.end(sess, node, media::ended(cause, anew), load);
+                    self.end(sess, node, media::teardown_outcome(cause, anew), load);
                     self.tell_over(sess, conn, cause);
                 } else if self.is_out(sess, link) {
                     self.setup_over(sess, Ending::Broken, load);
                 }
             }
-            media::Word::Note { sess, note } => {
+            media::NodeMessage::Notification { sess, notification } => {
                 if self.sess.get(&sess).is_some_and(|s| s.stage == Stage::Stands && s.node == node) {
-                    if let (Note::Link(asked), Some(n)) = (note, self.nodes.get_mut(&node)) {
+                    if let (NodeNotification::Link(asked), Some(n)) =
+                        (notification, self.nodes.get_mut(&node))
+                    {
                         n.told = asked;
                     }
-                    self.round.readings.push(match note {
-                        Note::Delivered(share) => Reading::Delivered { node, share },
-                        Note::Rung(rung) => Reading::Rung { sess, rung },
-                        Note::Link(asked) => Reading::Link { sess, node, asked },
-                        Note::Uplink(asked) => Reading::Uplink { sess, node, asked },
+                    self.round.readings.push(match notification {
+                        NodeNotification::Delivered(share) => Reading::Delivered { node, share },
+                        NodeNotification::Rung(rung) => Reading::Rung { sess, rung },
+                        NodeNotification::Link(asked) => Reading::Link { sess, node, asked },
+                        NodeNotification::Uplink(asked) => Reading::Uplink { sess, node, asked },
                     });
                 }
             }
-            media::Word::Free => {}
+            media::NodeMessage::Ignored => {}
         }
     }
 
@@ -1158,7 +1164,7 @@
     /// given up there was released before the close.
     fn reply(&mut self, link: u64, bytes: Vec<u8>) {
         if self.links.get(&link).is_some_and(|l| !l.closing) {
-            self.effects.push(Effect::Node { link, bytes });
+            self.effects.push(Effect::SendNode { link, bytes });
         }
     }
 
@@ -1169,7 +1175,7 @@
     fn set_up(&mut self, link: u64, node: NodeId, sess: SessId, blob: Option<String>) {
         if !self.is_out(sess, link) {
             if self.given_up.contains_key(&(sess, node)) {
-                self.reply(link, media::release(sess, cause::CLEARED));
+                self.reply(link, media::teardown(sess, cause::NORMAL_CLEARING));
             }
             return;
         }
@@ -1178,7 +1184,8 @@
         let Some(s) = self.sess.get_mut(&sess) else { return };
         if s.left {
             // Nobody waits for it any more.
-            self.effects.push(Effect::Node { link, bytes: media::release(sess, cause::CLEARED) });
+            self.effects
+                .push(Effect::SendNode { link, bytes: media::teardown(sess, cause::NORMAL_CLEARING) });
             return self.setup_over(sess, Ending::Withdrawn, LoadReport::default());
         }
         s.stage = Stage::Stands;
@@ -1192,8 +1199,8 @@
         self.round.playing.push(Playing { sess, node, took });
         self.answered[0] += 1;
         self.stands(sess, node);
-        let bytes = viewer::write(Some(sess), Reply::Started(&blob));
-        self.effects.push(Effect::Viewer { conn, bytes });
+        let bytes = viewer::encode(Some(sess), Reply::Started(&blob));
+        self.effects.push(Effect::SendViewer { conn, bytes });
         if let Some(v) = self.viewers.get_mut(&conn) {
             v.trusted = 2;
         }
@@ -1208,7 +1215,7 @@
         let Some(ask) = &s.ask else { return };
         (s.stage, s.sent) = (Stage::Out, now);
         let bytes = media::setup(sess, &ask.key, &ask.class, s.until - now, s.rung, &ask.blob);
-        self.effects.push(Effect::Node { link: s.link, bytes });
+        self.effects.push(Effect::SendNode { link: s.link, bytes });
     }
 
     // The change log.
@@ -1251,7 +1258,7 @@
             standing: BTreeSet::new(),
             doubted: BTreeSet::new(),
             owed: VecDeque::new(),
-            pulse: Pulse::new(now),
+            pulse: Liveness::new(now),
             unreached: String::new(),
             linked_since: now,
             told: 0.0,
@@ -1268,8 +1275,8 @@
         Some(line)
     }
 
-    fn fold(&mut self, change: &Change) -> Vec<Listed> {
-        if change.whole {
+    fn fold(&mut self, change: &FleetChange) -> Vec<Listed> {
+        if change.is_snapshot {
             let named: BTreeSet<&str> = change.hosts.iter().map(|h| h.id.as_str()).collect();
             for n in self.nodes.values_mut().filter(|n| !named.contains(n.name.as_str())) {
                 (n.phase, n.line.phase) = (Phase::Gone, Phase::Gone);
@@ -1297,11 +1304,11 @@
         }
     }
 
-    fn change(&mut self, change: &Change) {
+    fn change(&mut self, change: &FleetChange) {
         let before: Vec<_> = self.nodes.iter().map(|(&id, n)| (id, n.phase, n.line.up_since)).collect();
         let lines = self.fold(change);
         self.take_back(&before);
-        if change.whole {
+        if change.is_snapshot {
             self.round.list_changes.push(ListChange::Whole(lines));
         } else if !lines.is_empty() {
             self.round.list_changes.push(ListChange::Changed(lines));
@@ -1309,7 +1316,7 @@
     }
 
     /// What was told before the start: a list as it was kept, which may be old.
-    fn known(&mut self, changes: &[Change]) {
+    fn known(&mut self, changes: &[FleetChange]) {
         for change in changes {
             self.fold(change);
         }
@@ -1410,13 +1417,13 @@
 
     fn busy(&mut self, sess: SessId, come_back: Option<f64>) {
         self.answered[1] += 1;
-        self.answer(sess, cause::BUSY, come_back);
+        self.answer(sess, cause::CONGESTION, come_back);
         self.forget(sess);
     }
 
     fn fail(&mut self, sess: SessId) {
         self.answered[2] += 1;
-        self.answer(sess, cause::FAILED, None);
+        self.answer(sess, cause::TEMPORARY_FAILURE, None);
         self.forget(sess);
     }
 
@@ -1424,10 +1431,10 @@
     fn shift(&mut self, sess: SessId) {
         let Some(s) = self.sess.get(&sess).filter(|s| s.stage == Stage::Stands) else { return };
         let (node, conn) = (s.node, s.conn);
-        let bytes = viewer::write(Some(sess), Reply::Move);
-        self.effects.push(Effect::Viewer { conn, bytes });
+        let bytes = viewer::encode(Some(sess), Reply::Move);
+        self.effects.push(Effect::SendViewer { conn, bytes });
         if let Some(link) = self.up_link(node) {
-            self.effects.push(Effect::Node { link, bytes: media::shift(sess) });
+            self.effects.push(Effect::SendNode { link, bytes: media::redirect(sess) });
         }
     }
 
@@ -1456,7 +1463,7 @@
     }
 
     fn fault(&mut self, why: &str) {
-        self.effects.push(Effect::Fault(why.to_owned()));
+        self.effects.push(Effect::InternalError(why.to_owned()));
     }
 
     fn wake(&mut self, after: f64) {
--- a/crates/kelpdoor-platform/src/pulse.rs
+++ b/crates/kelpdoor-platform/src/liveness.rs
@@ -9,7 +9,7 @@
 /// s; between tries while they fail. Two fit into the shortest time in which a process is back.
 const AGAIN: f64 = 0.3;
 /// s; between tries only to release what was given up there: nobody waits for it.
-pub const OWED_AGAIN: f64 = 2.0;
+pub const RELEASE_RETRY_INTERVAL: f64 = 2.0;
 /// s; failures further apart are not in a row: nobody tried meanwhile, or we stood still ourselves.
 const IN_A_ROW: f64 = 2.5;
 /// s of tries that fail until what stood there counts as over: viewers are owed word of it within 8 s of the end, and it
@@ -19,7 +19,7 @@
 const REFUSALS: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Pulse {
+pub struct Liveness {
     heard: f64,
     tried: f64,
     /// Of failures in a row, when the first and the last were.
@@ -27,14 +27,14 @@
     refusals: u32,
 }
 
-impl Pulse {
+impl Liveness {
     pub fn new(now: f64) -> Self {
-        Pulse { heard: now, tried: f64::NEG_INFINITY, failing: None, refusals: 0 }
+        Liveness { heard: now, tried: f64::NEG_INFINITY, failing: None, refusals: 0 }
     }
 
     /// Something came from the node, or a connection to it came up.
     pub fn heard(&mut self, now: f64) {
-        *self = Pulse { heard: now, tried: self.tried, failing: None, refusals: 0 };
+        *self = Liveness { heard: now, tried: self.tried, failing: None, refusals: 0 };
     }
 
     pub fn tried(&mut self, now: f64) {
@@ -52,7 +52,7 @@
     /// Whether to try a connection now; `linked`: one is open; `waited_for`: something stands there or is in doubt.
     pub fn wants_try(&self, now: f64, linked: bool, waited_for: bool) -> bool {
         let quiet = if linked && self.failing.is_none() { QUIET } else { 0.0 };
-        let again = if waited_for { AGAIN } else { OWED_AGAIN };
+        let again = if waited_for { AGAIN } else { RELEASE_RETRY_INTERVAL };
         now - self.heard >= quiet && now - self.tried >= again.max(quiet)
     }
 
--- a/crates/kelpdoor-platform/src/pulse/tests.rs
+++ b/crates/kelpdoor-platform/src/liveness/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_dead_process_is_known_by_two_refusals() {
-    let mut p = Pulse::new(0.0);
+    let mut p = Liveness::new(0.0);
     assert!(p.wants_try(0.1, false, true));
     p.tried(0.1);
     p.failed(0.1, true, false);
@@ -13,7 +13,7 @@
 
 #[test]
 fn a_silent_machine_is_known_in_time_and_a_quiet_one_is_not_taken_for_it() {
-    let mut p = Pulse::new(0.0);
+    let mut p = Liveness::new(0.0);
     assert!(!p.wants_try(1.0, true, true) && p.wants_try(1.6, true, true));
     p.tried(1.6);
     p.failed(1.85, false, true);
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_failure_long_ago_is_no_ground_to_give_up_at_the_next() {
-    let mut p = Pulse::new(0.0);
+    let mut p = Liveness::new(0.0);
     p.failed(1.0, false, false);
     p.failed(30.0, false, false);
     assert!(!p.over());
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_full_node_that_speaks_is_not_dead_and_a_process_that_left_its_connections_open_is() {
-    let mut p = Pulse::new(0.0);
+    let mut p = Liveness::new(0.0);
     for k in 0..9 {
         p.failed(f64::from(k) * 3.0 + 1.5, true, true);
         assert!(!p.over());
--- a/crates/kelpdoor-platform/src/media.rs
+++ b/crates/kelpdoor-platform/src/media.rs
@@ -6,11 +6,11 @@
 use kelpdoor_rtsp::{Headers, Message, Method, Request, Response, Version};
 use kelpdoor_terms::ReportFields;
 
-use crate::viewer::{cause, id, tag};
+use crate::viewer::{cause, format_session_id, parse_session_id};
 
 /// A note on a session that stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum NodeNotification {
     Delivered(f64),
     Rung(u8),
     Link(f64),
@@ -19,39 +19,39 @@
 
 /// What a media node says.
 #[derive(Clone, Debug)]
-pub enum Word {
+pub enum NodeMessage {
     /// 200 to SETUP: the session stands. Its description, if it can be passed on.
-    Stands {
+    SetupAccepted {
         sess: SessId,
         blob: Option<String>,
         load: LoadReport,
     },
     /// A refusal of a SETUP, by what it proves.
-    Refused {
+    SetupRefused {
         sess: SessId,
         how: Ending,
         load: LoadReport,
     },
     /// The node released a session; `cseq` for the answer.
-    Released {
+    SessionEnded {
         sess: SessId,
         cause: u32,
         cseq: u32,
         load: LoadReport,
     },
-    Note {
+    Notification {
         sess: SessId,
-        note: Note,
+        notification: NodeNotification,
     },
     /// Wants nothing.
-    Free,
+    Ignored,
 }
 
 /// What a status to SETUP proves; `None` for 1xx and 200.
 ///
 /// 504 says that the SETUP broke on its way, and it may have run. It comes from a process that lives, on a connection that
 /// stands, so it is no sign of a death: it counts as a SETUP of which nothing more will be heard.
-pub fn ending(status: u16) -> Option<Ending> {
+pub fn refusal_outcome(status: u16) -> Option<Ending> {
     match status {
         0..300 => None,
         453 => Some(Ending::BusyReplied),
@@ -64,10 +64,10 @@
 
 /// How a session that stood ended, by the cause of its node's release. One that was cut tells of the node's death only where
 /// the process may have changed since the session was set up (`anew`): a process that lives can cut one session.
-pub fn ended(why: u32, anew: bool) -> Ending {
+pub fn teardown_outcome(why: u32, anew: bool) -> Ending {
     match why {
-        cause::CLEARED => Ending::Served,
-        cause::CANCELLED => Ending::Withdrawn,
+        cause::NORMAL_CLEARING => Ending::Served,
+        cause::NORMAL_UNSPECIFIED => Ending::Withdrawn,
         _ if anew => Ending::Broken,
         _ => Ending::Withdrawn,
     }
@@ -81,39 +81,48 @@
     })
 }
 
-fn note(headers: &Headers) -> Option<Note> {
+fn note(headers: &Headers) -> Option<NodeNotification> {
     let value: f64 = headers.read("X-Reading").filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
     Some(match headers.get("X-Outcome")? {
-        "fill" => Note::Delivered(value),
-        "grade" => Note::Rung(value as u8),
-        "local" => Note::Link(value),
-        "upstream" => Note::Uplink(value),
+        "fill" => NodeNotification::Delivered(value),
+        "grade" => NodeNotification::Rung(value as u8),
+        "local" => NodeNotification::Link(value),
+        "upstream" => NodeNotification::Uplink(value),
         _ => return None,
     })
 }
 
 /// Reads a message for what it says; one that names no session says nothing.
-pub fn read(message: Message, fields: &ReportFields) -> Word {
+pub fn interpret(message: Message, fields: &ReportFields) -> NodeMessage {
     let (Message::Request(Request { headers, .. }) | Message::Response(Response { headers, .. })) = &message;
-    let Some(sess) = headers.get("Session").and_then(|s| id(s.trim())) else { return Word::Free };
+    let Some(sess) = headers.get("Session").and_then(|s| parse_session_id(s.trim())) else {
+        return NodeMessage::Ignored;
+    };
     let load = load(headers, fields);
     match message {
-        Message::Response(r) if r.cseq == 1 => match ending(r.status) {
-            Some(how) => Word::Refused { sess, how, load },
-            None if r.status < 200 => Word::Free,
-            None => Word::Stands { sess, blob: String::from_utf8(r.body).ok(), load },
+        Message::Response(r) if r.cseq == 1 => match refusal_outcome(r.status) {
+            Some(how) => NodeMessage::SetupRefused { sess, how, load },
+            None if r.status < 200 => NodeMessage::Ignored,
+            None => NodeMessage::SetupAccepted { sess, blob: String::from_utf8(r.body).ok(), load },
         },
-        Message::Response(_) => Word::Free,
+        Message::Response(_) => NodeMessage::Ignored,
         Message::Request(r) => match r.method {
             Method::Teardown => {
                 let given = r
                     .headers
                     .get("Reason")
                     .and_then(|v| v.trim().strip_prefix("cause=")?.trim().parse().ok());
-                Word::Released { sess, cause: given.unwrap_or(cause::FAILED), cseq: r.cseq, load }
+                NodeMessage::SessionEnded {
+                    sess,
+                    cause: given.unwrap_or(cause::TEMPORARY_FAILURE),
+                    cseq: r.cseq,
+                    load,
+                }
             }
-            Method::Announce => note(&r.headers).map_or(Word::Free, |note| Word::Note { sess, note }),
-            _ => Word::Free,
+            Method::Announce => note(&r.headers).map_or(NodeMessage::Ignored, |notification| {
+                NodeMessage::Notification { sess, notification }
+            }),
+            _ => NodeMessage::Ignored,
         },
     }
 }
@@ -125,13 +134,14 @@
 }
 
 fn request(method: Method, sess: SessId, cseq: u32) -> Request {
-    Request::new(method, format!("rtsp://media/{}", tag(sess)), cseq).with("Session", tag(sess))
+    Request::new(method, format!("rtsp://media/{}", format_session_id(sess)), cseq)
+        .with("Session", format_session_id(sess))
 }
 
 /// `wait` in seconds is how long the director waits for the answer.
 pub fn setup(sess: SessId, key: &str, class: &str, wait: f64, rung: u8, blob: &str) -> Vec<u8> {
     let mut setup = Request::new(Method::Setup, format!("rtsp://media/{key}"), 1)
-        .with("Session", tag(sess))
+        .with("Session", format_session_id(sess))
         .with("X-Tier", class)
         .with("X-Deadline", (wait * 1000.0).floor().max(1.0) as u64)
         .with("X-Quality", rung);
@@ -139,24 +149,24 @@
     bytes(setup)
 }
 
-pub fn give_up(sess: SessId) -> Vec<u8> {
+pub fn cancel_setup(sess: SessId) -> Vec<u8> {
     bytes(request(Method::Teardown, sess, 2))
 }
 
 /// Cuts a session that stands.
-pub fn release(sess: SessId, why: u32) -> Vec<u8> {
+pub fn teardown(sess: SessId, why: u32) -> Vec<u8> {
     bytes(request(Method::Teardown, sess, 2).with("Reason", format!("cause={why}")))
 }
 
-pub fn rung(sess: SessId, rung: u8) -> Vec<u8> {
+pub fn set_rung(sess: SessId, rung: u8) -> Vec<u8> {
     bytes(request(Method::SetParameter, sess, 4).with("X-Quality", rung))
 }
 
-pub fn shift(sess: SessId) -> Vec<u8> {
+pub fn redirect(sess: SessId) -> Vec<u8> {
     bytes(request(Method::Redirect, sess, 5))
 }
 
 /// That a release was heard.
-pub fn heard(sess: SessId, cseq: u32) -> Vec<u8> {
-    bytes(Response::new(200, cseq).with("Session", tag(sess)))
+pub fn acknowledge(sess: SessId, cseq: u32) -> Vec<u8> {
+    bytes(Response::new(200, cseq).with("Session", format_session_id(sess)))
 }
--- a/crates/kelpdoor-platform/src/shell.rs
+++ b/crates/kelpdoor-platform/src/shell.rs
@@ -25,9 +25,9 @@
 use tokio::task::{JoinSet, LocalSet, spawn_local};
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::changes::read_event;
-use crate::exchange::{Effect, Exchange, Failed, Input, PART_EACH};
-use crate::start::Start;
+use crate::changes::parse_event;
+use crate::core::{ConnectFailure, Effect, Input, MEMORY_DIVISOR, SessionCore};
+use crate::startup::StartupConfig;
 use crate::viewer::{self, MAX_LINE};
 
 /// Inputs waiting for the exchange at most, of 16 KiB each; readers wait beyond it, and so do their peers.
@@ -296,7 +296,7 @@
 async fn viewer(
     conn: u64, stream: Rc<TcpStream>, pipe: Rc<Pipe>, to: mpsc::Sender<Came>, lingering: Rc<Semaphore>,
 ) {
-    let _ = to.send((Instant::now(), Input::ViewerUp { conn })).await;
+    let _ = to.send((Instant::now(), Input::ViewerConnected { conn })).await;
     let lost = serve(&stream, &pipe, false, async |buf: &mut Vec<u8>| {
         let came = Instant::now();
         let mut from = 0;
@@ -304,18 +304,18 @@
             let line = &buf[from..from + end];
             from += end + 1;
             if end >= MAX_LINE {
-                let _ = to.send((came, Input::ViewerOverlong { conn })).await;
+                let _ = to.send((came, Input::ViewerLineTooLong { conn })).await;
                 return false;
             }
-            let word = viewer::read(line);
-            if to.send((came, Input::Viewer { conn, word })).await.is_err() {
+            let message = viewer::parse(line);
+            if to.send((came, Input::ViewerMessage { conn, message })).await.is_err() {
                 return false;
             }
         }
         used(buf, from);
         if buf.len() >= MAX_LINE {
             *buf = Vec::new();
-            let _ = to.send((came, Input::ViewerOverlong { conn })).await;
+            let _ = to.send((came, Input::ViewerLineTooLong { conn })).await;
             return false;
         }
         true
@@ -327,18 +327,18 @@
 }
 
 /// What a connection that did not come up tells of its node.
-fn failed(e: Option<&io::Error>) -> Failed {
+fn failed(e: Option<&io::Error>) -> ConnectFailure {
     match e {
-        Some(e) if e.kind() == io::ErrorKind::ConnectionRefused => Failed::Refused,
+        Some(e) if e.kind() == io::ErrorKind::ConnectionRefused => ConnectFailure::Refused,
         Some(e)
             if matches!(
                 e.raw_os_error(),
                 Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::EADDRNOTAVAIL)
             ) =>
         {
-            Failed::Ours
+            ConnectFailure::LocalResources
         }
-        _ => Failed::Silent,
+        _ => ConnectFailure::Unreachable,
     }
 }
 
@@ -353,14 +353,14 @@
             let e = other.ok().and_then(Result::err);
             let silent = || format!("no connection within {} ms", wait.as_millis());
             let why = e.as_ref().map_or_else(silent, io::Error::to_string);
-            let failed = Input::LinkFailed { link, how: failed(e.as_ref()), why };
+            let failed = Input::LinkFailed { link, failure: failed(e.as_ref()), why };
             let _ = to.send((Instant::now(), failed)).await;
             return;
         }
     };
     let _ = stream.set_nodelay(true);
     *pipe.stream.borrow_mut() = Some(stream.clone());
-    let _ = to.send((Instant::now(), Input::LinkUp { link })).await;
+    let _ = to.send((Instant::now(), Input::LinkConnected { link })).await;
     serve(&stream, &pipe, true, async |buf: &mut Vec<u8>| {
         let came = Instant::now();
         let mut from = 0;
@@ -368,14 +368,14 @@
             match parse_as(Version::V1, &buf[from..]) {
                 Ok(Some((message, len))) => {
                     from += len;
-                    if to.send((came, Input::Node { link, message })).await.is_err() {
+                    if to.send((came, Input::NodeMessage { link, message })).await.is_err() {
                         return false;
                     }
                 }
                 Ok(None) => break,
                 Err(e) => {
                     *buf = Vec::new();
-                    let _ = to.send((came, Input::LinkSpoilt { link, why: e.to_string() })).await;
+                    let _ = to.send((came, Input::LinkCorrupted { link, why: e.to_string() })).await;
                     return false;
                 }
             }
@@ -410,7 +410,7 @@
         spawn_local(async move {
             guarded(viewer(conn, stream, pipe, to.clone(), lingering)).await;
             pipes.borrow_mut().remove(&conn);
-            let _ = to.send((Instant::now(), Input::ViewerLost { conn })).await;
+            let _ = to.send((Instant::now(), Input::ViewerDisconnected { conn })).await;
         });
     }
 }
@@ -484,7 +484,7 @@
             Some(Ok(event)) => event,
         };
         bytes.set(0);
-        match read_event(&event.data) {
+        match parse_event(&event.data) {
             // Told twice.
             Ok(change) if change.number <= *last => {}
             Ok(change) => {
@@ -530,7 +530,7 @@
 type Pipes = Rc<RefCell<HashMap<u64, Rc<Pipe>>>>;
 
 struct Shell {
-    exchange: Exchange,
+    exchange: SessionCore,
     clock: Clock,
     viewers: Pipes,
     links: HashMap<u64, Rc<Pipe>>,
@@ -561,16 +561,16 @@
 
     fn take(&mut self, now: f64, (came, input): Came) {
         match &input {
-            Input::LinkFailed { link, .. } | Input::LinkLost { link } => {
+            Input::LinkFailed { link, .. } | Input::LinkDisconnected { link } => {
                 tracing::debug!("{input:?}");
                 self.links.remove(link);
             }
-            Input::LinkUp { .. } | Input::ViewerLost { .. } => tracing::debug!("{input:?}"),
-            Input::Node { link, message } => tracing::trace!(link, "{message:?}"),
-            Input::Viewer { conn, word } => tracing::trace!(conn, "{word:?}"),
+            Input::LinkConnected { .. } | Input::ViewerDisconnected { .. } => tracing::debug!("{input:?}"),
+            Input::NodeMessage { link, message } => tracing::trace!(link, "{message:?}"),
+            Input::ViewerMessage { conn, message } => tracing::trace!(conn, "{message:?}"),
             _ => {}
         }
-        self.exchange.take(now, came.elapsed().as_secs_f64(), input);
+        self.exchange.handle_input(now, came.elapsed().as_secs_f64(), input);
     }
 
     fn say(&mut self, line: &str) {
@@ -590,40 +590,40 @@
     fn carry_out(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Viewer { conn, bytes } => {
+                Effect::SendViewer { conn, bytes } => {
                     tracing::trace!(conn, "{}", String::from_utf8_lossy(&bytes));
                     if let Some(pipe) = self.viewers.borrow().get(&conn) {
                         pipe.write(&bytes);
                     }
                 }
-                Effect::ShutViewer { conn } => {
+                Effect::CloseViewer { conn } => {
                     if let Some(pipe) = self.viewers.borrow().get(&conn) {
                         pipe.close();
                     }
                 }
-                Effect::Dial { link: number, address } => {
+                Effect::ConnectLink { link: number, address } => {
                     tracing::debug!(number, %address, "dial");
                     let pipe = Pipe::new(None, self.backlog.clone());
                     self.links.insert(number, pipe.clone());
                     let (to, connect) = (self.to.clone(), self.connect);
                     spawn_local(async move {
                         guarded(link(number, address, connect, pipe, to.clone())).await;
-                        let _ = to.send((Instant::now(), Input::LinkLost { link: number })).await;
+                        let _ = to.send((Instant::now(), Input::LinkDisconnected { link: number })).await;
                     });
                 }
-                Effect::Node { link, bytes } => {
+                Effect::SendNode { link, bytes } => {
                     tracing::trace!(link, "{}", String::from_utf8_lossy(&bytes));
                     if let Some(pipe) = self.links.get(&link) {
                         pipe.write(&bytes);
                     }
                 }
-                Effect::HangUp { link, at_once } => {
+                Effect::CloseLink { link, immediate } => {
                     if let Some(pipe) = self.links.remove(&link) {
-                        if at_once { pipe.abort() } else { pipe.close() }
+                        if immediate { pipe.abort() } else { pipe.close() }
                     }
                 }
                 Effect::Log(line) => self.say(&line),
-                Effect::Fault(why) => tracing::error!(%why, "the decisions report a fault"),
+                Effect::InternalError(why) => tracing::error!(%why, "the decisions report a fault"),
             }
         }
     }
@@ -631,12 +631,12 @@
     fn round(&mut self) {
         let now = self.now();
         let mut effects = Vec::new();
-        self.exchange.round(now, &mut |e| effects.push(e));
+        self.exchange.run_round(now, &mut |e| effects.push(e));
         self.carry_out(effects);
     }
 
     fn read_again(&mut self) {
-        match Start::changelog_again(&self.file) {
+        match StartupConfig::reread_changelog(&self.file) {
             Ok(address) => {
                 tracing::info!(%address, "configuration read again");
                 self.feed.send_replace(address);
@@ -649,24 +649,24 @@
     /// Viewers' connections are closed once it might, and it ends after a further quiet while.
     fn may_end(&mut self, since: Duration, line: &mpsc::Receiver<Came>) -> bool {
         let counts = self.exchange.counts();
-        if counts.came != self.last_setup.0 {
-            self.last_setup = (counts.came, Instant::now());
+        if counts.setups_received != self.last_setup.0 {
+            self.last_setup = (counts.setups_received, Instant::now());
         }
         if since < LAST_SETUPS {
             return false;
         }
-        self.exchange.close();
+        self.exchange.refuse_setups();
         let quiet = self.last_setup.1.elapsed() >= LAST_QUIET && line.is_empty();
-        if counts.open > 0 || !(quiet || since >= LAST_WORDS) {
+        if counts.open_setups > 0 || !(quiet || since >= LAST_WORDS) {
             return false;
         }
         let shut = *self.shut_at.get_or_insert_with(|| {
             // All at once, and their descriptors are held already.
-            self.lingering.add_permits(self.exchange.most_viewers());
+            self.lingering.add_permits(self.exchange.max_viewers());
             Instant::now()
         });
         // Those that came since are closed too, each with what was taken on it answered.
-        self.exchange.shut_viewers();
+        self.exchange.close_idle_viewers();
         shut.elapsed() >= LAST_QUIET
     }
 
@@ -674,9 +674,9 @@
     /// there is known before anything is done for it, and what was taken before the process ends.
     async fn look(&mut self, input: &mut mpsc::Receiver<Came>, batch: &mut Vec<Came>) {
         let held = |(_, input): &Came| match input {
-            Input::Viewer { word: Ok(viewer::Word::Start(_, ask)), .. } => ask.blob.len(),
-            Input::Node { message: Message::Response(r), .. } => r.body.len(),
-            Input::Node { message: Message::Request(r), .. } => r.body.len(),
+            Input::ViewerMessage { message: Ok(viewer::ViewerMessage::Start(_, ask)), .. } => ask.blob.len(),
+            Input::NodeMessage { message: Message::Response(r), .. } => r.body.len(),
+            Input::NodeMessage { message: Message::Request(r), .. } => r.body.len(),
             _ => 0,
         };
         let mut bytes: usize = batch.iter().map(held).sum();
@@ -702,10 +702,10 @@
     fn take_all(&mut self, now: f64, mut batch: Vec<Came>) {
         batch.sort_by_key(|(_, input)| match input {
             Input::Change(_) => 0,
-            Input::ViewerUp { .. }
-            | Input::Viewer { .. }
-            | Input::ViewerOverlong { .. }
-            | Input::ViewerLost { .. } => 1,
+            Input::ViewerConnected { .. }
+            | Input::ViewerMessage { .. }
+            | Input::ViewerLineTooLong { .. }
+            | Input::ViewerDisconnected { .. } => 1,
             _ => 2,
         });
         batch.into_iter().for_each(|came| self.take(now, came));
@@ -722,7 +722,7 @@
             if told.elapsed() >= Duration::from_secs(1) {
                 told = Instant::now();
                 if tracing::enabled!(tracing::Level::DEBUG) {
-                    tracing::debug!("belief: {}", self.exchange.belief());
+                    tracing::debug!("belief: {}", self.exchange.status_line());
                 }
             }
             if let Some(at) = ending
@@ -730,7 +730,7 @@
             {
                 break;
             }
-            let wait = (self.exchange.wake_at() - self.now()).clamp(0.0, 1.0);
+            let wait = (self.exchange.next_timer_at() - self.now()).clamp(0.0, 1.0);
             let due = tokio::time::Instant::now() + Duration::from_secs_f64(wait);
             let first = tokio::select! {
                 biased;
@@ -785,36 +785,36 @@
     }
 }
 
-async fn platform(start: Start) -> io::Result<()> {
+async fn platform(start: StartupConfig) -> io::Result<()> {
     let listener = TcpListener::bind(start.listen).await?;
     let signals =
         [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?, signal(SignalKind::hangup())?];
     let mut clock = Clock::default();
     let (now, _) = clock.now();
-    let exchange = Exchange::new(&start, now);
+    let exchange = SessionCore::new(&start, now);
     let (to, input) = mpsc::channel(INPUTS);
     let (feed, at) = watch::channel(start.changelog);
     let viewers = Pipes::default();
-    let backlog = Backlog { bytes: Rc::default(), most: start.memory / PART_EACH };
+    let backlog = Backlog { bytes: Rc::default(), most: start.max_memory / MEMORY_DIVISOR };
     // These never end; the director would be deaf without them.
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(follow(at, start.known_to, to.clone(), fastrand::Rng::with_seed(start.seed)));
-    let (most, lingering) = (exchange.most_viewers(), Rc::new(Semaphore::new(LINGERING)));
+    tasks.spawn_local(follow(at, start.last_known_change, to.clone(), fastrand::Rng::with_seed(start.seed)));
+    let (most, lingering) = (exchange.max_viewers(), Rc::new(Semaphore::new(LINGERING)));
     let accepting = accept(listener, most, backlog.clone(), viewers.clone(), to.clone(), lingering.clone());
     tasks.spawn_local(accepting);
-    tracing::info!(name = start.name, listen = %start.listen, sockets = start.sockets, "started");
+    tracing::info!(name = start.name, listen = %start.listen, sockets = start.max_sockets, "started");
     let shell = Shell {
         exchange,
         clock,
         viewers,
         links: HashMap::new(),
-        connect: Duration::from_secs_f64(start.named.connect_timeout.max(0.05)),
+        connect: Duration::from_secs_f64(start.names.connect_timeout.max(0.05)),
         to,
         feed,
-        file: start.file,
+        file: start.config_path,
         lines: (Instant::now(), 0),
         last_setup: (0, Instant::now()),
-        most_batch: start.memory / BATCH_PART,
+        most_batch: start.max_memory / BATCH_PART,
         lingering,
         shut_at: None,
         backlog,
@@ -826,7 +826,7 @@
 ///
 /// # Errors
 /// Where its address cannot be bound or the system gives no runtime.
-pub fn run(start: Start) -> io::Result<()> {
+pub fn run(start: StartupConfig) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, platform(start))
 }
--- a/crates/kelpdoor-platform/src/shell/tests.rs
+++ b/crates/kelpdoor-platform/src/shell/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn only_a_refusal_is_one_and_what_we_lack_says_nothing_of_a_node() {
     let of = |code: i32| failed(Some(&io::Error::from_raw_os_error(code)));
-    assert_eq!(of(libc::ECONNREFUSED), Failed::Refused);
-    assert_eq!([of(libc::EMFILE), of(libc::EADDRNOTAVAIL)], [Failed::Ours; 2]);
-    assert_eq!([of(libc::EHOSTUNREACH), failed(None)], [Failed::Silent; 2]);
+    assert_eq!(of(libc::ECONNREFUSED), ConnectFailure::Refused);
+    assert_eq!([of(libc::EMFILE), of(libc::EADDRNOTAVAIL)], [ConnectFailure::LocalResources; 2]);
+    assert_eq!([of(libc::EHOSTUNREACH), failed(None)], [ConnectFailure::Unreachable; 2]);
 }
 
 fn backlog(most: usize) -> Backlog {
--- a/crates/kelpdoor-platform/src/start.rs
+++ b/crates/kelpdoor-platform/src/startup.rs
@@ -7,7 +7,7 @@
 use kelpdoor_terms::{Named, ReportFields};
 use serde_json::Value;
 
-use crate::changes::{Change, read_known};
+use crate::changes::{FleetChange, parse_known_events};
 
 /// MB; less does not hold the program and its bounds.
 const LEAST_MEMORY: u64 = 16;
@@ -16,57 +16,57 @@
 
 /// Why the start is not possible: the variable or key, and what is wrong with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StartFault(pub String);
+pub struct StartupError(pub String);
 
-impl std::fmt::Display for StartFault {
+impl std::fmt::Display for StartupError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for StartFault {}
+impl std::error::Error for StartupError {}
 
-fn fault<T>(what: impl Into<String>) -> Result<T, StartFault> {
-    Err(StartFault(what.into()))
+fn fault<T>(what: impl Into<String>) -> Result<T, StartupError> {
+    Err(StartupError(what.into()))
 }
 
-pub struct Start {
-    pub file: PathBuf,
+pub struct StartupConfig {
+    pub config_path: PathBuf,
     pub name: String,
     pub listen: SocketAddr,
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Bytes that the process may use.
-    pub memory: usize,
+    pub max_memory: usize,
     pub changelog: SocketAddr,
     /// Events told before the start, in their order.
-    pub known: Vec<Change>,
+    pub known_changes: Vec<FleetChange>,
     /// Number of the last of them.
-    pub known_to: u64,
+    pub last_known_change: u64,
     pub terms: Terms,
-    pub report: ReportFields,
-    pub named: Named,
+    pub report_fields: ReportFields,
+    pub names: Named,
 }
 
-fn address(value: &Value, key: &str) -> Result<SocketAddr, StartFault> {
+fn address(value: &Value, key: &str) -> Result<SocketAddr, StartupError> {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
     text.parse().or_else(|_| fault(format!("{key}: {text:?} is no address and port")))
 }
 
-fn file(path: &Path) -> Result<Value, StartFault> {
-    let at = |e: String| StartFault(format!("PROXY_CONFIG: {}: {e}", path.display()));
+fn file(path: &Path) -> Result<Value, StartupError> {
+    let at = |e: String| StartupError(format!("PROXY_CONFIG: {}: {e}", path.display()));
     let text = std::fs::read(path).map_err(|e| at(e.to_string()))?;
     let root: Value = serde_json::from_slice(&text).map_err(|e| at(e.to_string()))?;
     if root.is_object() { Ok(root) } else { Err(at("not a JSON object".into())) }
 }
 
-impl Start {
+impl StartupConfig {
     /// Reads the variables, through `variable`, and the file that they name.
     ///
     /// # Errors
     /// Names the variable or key at fault.
-    pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, StartFault> {
+    pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, StartupError> {
         let Some(path) = variable("PROXY_CONFIG") else { return fault("PROXY_CONFIG: not set") };
         let path = PathBuf::from(path);
         let root = file(&path)?;
@@ -91,27 +91,28 @@
                 _ => fault(format!("limits.{key}: {told} is no number of at least {least}")),
             }
         };
-        let (sockets, memory) = (limit("sockets", LEAST_SOCKETS)?, limit("memory_mb", LEAST_MEMORY)?);
-        let bad = |e| StartFault(format!("settings: {e:#}"));
-        let (terms, report) = kelpdoor_terms::terms(&root["settings"]).map_err(bad)?;
-        let named = kelpdoor_terms::named(&root["settings"]).map_err(bad)?;
-        if named.groups.is_empty() {
+        let (max_sockets, memory) = (limit("sockets", LEAST_SOCKETS)?, limit("memory_mb", LEAST_MEMORY)?);
+        let bad = |e| StartupError(format!("settings: {e:#}"));
+        let (terms, report_fields) = kelpdoor_terms::terms(&root["settings"]).map_err(bad)?;
+        let names = kelpdoor_terms::named(&root["settings"]).map_err(bad)?;
+        if names.groups.is_empty() {
             return fault("settings: no classes");
         }
-        let (known, known_to) = read_known(&root["known"]).or_else(|e| fault(format!("known: {e}")))?;
-        Ok(Start {
+        let (known_changes, last_known_change) =
+            parse_known_events(&root["known"]).or_else(|e| fault(format!("known: {e}")))?;
+        Ok(StartupConfig {
             name,
             listen,
             seed,
-            sockets,
-            memory: memory.saturating_mul(1 << 20),
+            max_sockets,
+            max_memory: memory.saturating_mul(1 << 20),
             changelog: address(&root["changelog"], "changelog")?,
-            known,
-            known_to,
+            known_changes,
+            last_known_change,
             terms,
-            report,
-            named,
-            file: path,
+            report_fields,
+            names,
+            config_path: path,
         })
     }
 
@@ -119,7 +120,7 @@
     ///
     /// # Errors
     /// Names the key at fault; what was in force stays so.
-    pub fn changelog_again(path: &Path) -> Result<SocketAddr, StartFault> {
+    pub fn reread_changelog(path: &Path) -> Result<SocketAddr, StartupError> {
         address(&file(path)?["changelog"], "changelog")
     }
 }
--- a/crates/kelpdoor-platform/src/viewer.rs
+++ b/crates/kelpdoor-platform/src/viewer.rs
@@ -19,25 +19,25 @@
 /// Causes (ITU-T Q.850, table 1).
 pub mod cause {
     /// Normal clearing: a set-up given up, a session at its end.
-    pub const CLEARED: u32 = 16;
+    pub const NORMAL_CLEARING: u32 = 16;
     /// A session was moved, or ended by its viewer, who is owed no word of it.
-    pub const CANCELLED: u32 = 31;
+    pub const NORMAL_UNSPECIFIED: u32 = 31;
     /// The session was cut, or a set-up failed.
-    pub const FAILED: u32 = 41;
+    pub const TEMPORARY_FAILURE: u32 = 41;
     /// Refused: trying again is harmless.
-    pub const BUSY: u32 = 42;
+    pub const CONGESTION: u32 = 42;
     /// What the message holds cannot be used.
-    pub const UNUSABLE: u32 = 100;
+    pub const INVALID_CONTENTS: u32 = 100;
     /// The message cannot be read.
-    pub const UNREADABLE: u32 = 111;
+    pub const PROTOCOL_ERROR: u32 = 111;
 }
 
 /// A set-up as a viewer sent it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct SetupRequest {
     pub class: String,
     /// s; how long the viewer waits, from when it sent the set-up.
-    pub left: f64,
+    pub time_left: f64,
     /// The title as it was sent, and as the decisions know it.
     pub key: String,
     pub title: TitleId,
@@ -49,26 +49,26 @@
     pub blob: String,
 }
 
-impl Ask {
+impl SetupRequest {
     /// Whether another is the same set-up once more: it has less time left by then, and may carry other marks.
-    pub fn sent_again(&self, other: &Ask) -> bool {
+    pub fn is_same_setup(&self, other: &SetupRequest) -> bool {
         (&self.class, &self.key, &self.blob) == (&other.class, &other.key, &other.blob)
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
-    Start(SessId, Box<Ask>),
+pub enum ViewerMessage {
+    Start(SessId, Box<SetupRequest>),
     /// Gives up a set-up, or releases a session that stands.
     Finish(SessId),
     Echo(SessId),
     /// Wants nothing: progress, notes, or the like.
-    Free,
+    Ignored,
 }
 
 /// A line that is no message, and the id it names, if that can be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct MessageError {
     pub sess: Option<SessId>,
     pub cause: u32,
     pub why: String,
@@ -87,12 +87,12 @@
 }
 
 /// The id in 16 lower-case hexadecimal digits; any other form is no id, as it could not be sent back unchanged.
-pub fn id(tag: &str) -> Option<SessId> {
+pub fn parse_session_id(tag: &str) -> Option<SessId> {
     let digits = tag.len() == 16 && tag.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
     digits.then(|| u64::from_str_radix(tag, 16).ok().map(SessId)).flatten()
 }
 
-pub fn tag(sess: SessId) -> String {
+pub fn format_session_id(sess: SessId) -> String {
     format!("{:016x}", sess.0)
 }
 
@@ -122,7 +122,7 @@
         && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
 }
 
-fn ask(opts: &Map<String, Value>, blob: Option<String>) -> Result<Ask, String> {
+fn ask(opts: &Map<String, Value>, blob: Option<String>) -> Result<SetupRequest, String> {
     let text = |key: &str| opts.get(key).and_then(Value::as_str);
     let class = text("class").ok_or("no class")?.to_owned();
     let left = opts.get("left").and_then(number).ok_or("left is no number")?;
@@ -146,9 +146,9 @@
     if blob.len() > MAX_BLOB {
         return Err(format!("a description of {} bytes, {MAX_BLOB} at most", blob.len()));
     }
-    Ok(Ask {
+    Ok(SetupRequest {
         class,
-        left: left / 1000.0,
+        time_left: left / 1000.0,
         title: number_of(&key),
         key,
         first_cell: first_cell.ok_or("extras: no home")?,
@@ -163,19 +163,20 @@
 ///
 /// # Errors
 /// What is wrong with it, and whose it is.
-pub fn read(line: &[u8]) -> Result<Word, Bad> {
-    let unreadable = |why: String| Bad { sess: None, cause: cause::UNREADABLE, why };
+pub fn parse(line: &[u8]) -> Result<ViewerMessage, MessageError> {
+    let unreadable = |why: String| MessageError { sess: None, cause: cause::PROTOCOL_ERROR, why };
     let line: Line = serde_json::from_slice(line).map_err(|e| unreadable(e.to_string()))?;
-    let sess = id(&line.tag).ok_or_else(|| unreadable(format!("{:.20?} is no id", line.tag)))?;
-    let bad = |why: String| Bad { sess: Some(sess), cause: cause::UNUSABLE, why };
+    let sess =
+        parse_session_id(&line.tag).ok_or_else(|| unreadable(format!("{:.20?} is no id", line.tag)))?;
+    let bad = |why: String| MessageError { sess: Some(sess), cause: cause::INVALID_CONTENTS, why };
     match line.verb.as_str() {
-        "START" => ask(&line.opts, line.blob).map(|a| Word::Start(sess, Box::new(a))).map_err(bad),
+        "START" => ask(&line.opts, line.blob).map(|a| ViewerMessage::Start(sess, Box::new(a))).map_err(bad),
         "FINISH" => match line.rc.as_ref().and_then(number) {
-            Some(_) => Ok(Word::Finish(sess)),
+            Some(_) => Ok(ViewerMessage::Finish(sess)),
             None => Err(bad("no cause".into())),
         },
-        "ECHO" => Ok(Word::Echo(sess)),
-        "PENDING" | "FINISHED" | "ECHOED" | "NOTICE" => Ok(Word::Free),
+        "ECHO" => Ok(ViewerMessage::Echo(sess)),
+        "PENDING" | "FINISHED" | "ECHOED" | "NOTICE" => Ok(ViewerMessage::Ignored),
         other => Err(bad(format!("{other:.20?} is nothing that a viewer sends"))),
     }
 }
@@ -212,7 +213,7 @@
 }
 
 /// One line, its line feed included.
-pub fn write(sess: Option<SessId>, reply: Reply) -> Vec<u8> {
+pub fn encode(sess: Option<SessId>, reply: Reply) -> Vec<u8> {
     let (verb, rc, blob, wait) = match reply {
         Reply::Started(blob) => ("STARTED", None, Some(blob), None),
         Reply::Finish { cause, wait } => ("FINISH", Some(cause), None, wait),
@@ -220,7 +221,7 @@
         Reply::Move => ("MOVE", None, None, None),
     };
     let wait = wait.map(|s| (s * 1000.0).round().max(0.0) as u64);
-    let tag = sess.map_or_else(|| "0".repeat(16), tag);
+    let tag = sess.map_or_else(|| "0".repeat(16), format_session_id);
     let line = Written { verb, tag, opts: Opts { wait }, rc, blob };
     let mut bytes = serde_json::to_vec(&line).unwrap_or_default();
     bytes.push(b'\n');
--- a/crates/kelpdoor-platform/tests/codecs.rs
+++ b/crates/kelpdoor-platform/tests/codecs.rs
@@ -4,7 +4,7 @@
 
 use expect_test::expect;
 use kelpdoor::round::Ending;
-use kelpdoor_platform::{Start, changes, media, viewer};
+use kelpdoor_platform::{StartupConfig, changes, media, viewer};
 use kelpdoor_rtsp::{Version, parse_as};
 use kelpdoor_terms::ReportFields;
 use proptest::prelude::*;
@@ -38,10 +38,10 @@
         "[]".into(),
         "\u{0}".into(),
     ];
-    let show = |line: &String| match viewer::read(line.as_bytes()) {
-        Ok(viewer::Word::Start(id, a)) => format!(
+    let show = |line: &String| match viewer::parse(line.as_bytes()) {
+        Ok(viewer::ViewerMessage::Start(id, a)) => format!(
             "start {} {} {} {} {}+{} {} {:?} {:?}",
-            id.0, a.class, a.left, a.key, a.first_cell, a.cells, a.best_rung, a.at, a.blob
+            id.0, a.class, a.time_left, a.key, a.first_cell, a.cells, a.best_rung, a.at, a.blob
         ),
         Ok(word) => format!("{word:?}"),
         Err(bad) => format!("{} {:?}: {}", bad.cause, bad.sess.map(|s| s.0), bad.why),
@@ -52,7 +52,7 @@
         start 5 paid 1.5005 7f3a9c21e0b4d655 4+3 4 None "v=0\r\n"
         Finish(SessId(5))
         Echo(SessId(5))
-        Free
+        Ignored
         100 Some(5): left is no number
         100 Some(5): left is -1e0, above 0 and at most 600000 are possible
         100 Some(5): left is 1e300, above 0 and at most 600000 are possible
@@ -75,14 +75,14 @@
 #[test]
 fn what_a_director_says_to_viewers() {
     use viewer::Reply;
-    let id = viewer::id("9b1f03aa5c7e2d41");
+    let id = viewer::parse_session_id("9b1f03aa5c7e2d41");
     let said = [
-        viewer::write(id, Reply::Started("a\r\n\"b\"")),
-        viewer::write(id, Reply::Finish { cause: 42, wait: Some(0.9996) }),
-        viewer::write(id, Reply::Finish { cause: 41, wait: None }),
-        viewer::write(None, Reply::Finish { cause: 111, wait: None }),
-        viewer::write(id, Reply::Echoed),
-        viewer::write(id, Reply::Move),
+        viewer::encode(id, Reply::Started("a\r\n\"b\"")),
+        viewer::encode(id, Reply::Finish { cause: 42, wait: Some(0.9996) }),
+        viewer::encode(id, Reply::Finish { cause: 41, wait: None }),
+        viewer::encode(None, Reply::Finish { cause: 111, wait: None }),
+        viewer::encode(id, Reply::Echoed),
+        viewer::encode(id, Reply::Move),
     ];
     expect![[r#"
         {"verb":"STARTED","tag":"9b1f03aa5c7e2d41","opts":{},"blob":"a\r\n\"b\""}
@@ -120,33 +120,33 @@
     let show = |row: &&str| {
         let text = row.replace("|S", "|Session: 0000000000000005").replace('|', "\r\n") + "\r\n\r\n";
         let (message, _) = parse_as(Version::V1, text.as_bytes()).expect("RTSP").expect("whole");
-        format!("{:?}", media::read(message, &fields))
+        format!("{:?}", media::interpret(message, &fields))
     };
     expect![[r#"
-        Free
-        Stands { sess: SessId(5), blob: Some(""), load: LoadReport { streams: None, link: None, uplink: None } }
-        Refused { sess: SessId(5), how: Erred, load: LoadReport { streams: None, link: None, uplink: None } }
-        Refused { sess: SessId(5), how: BusyReplied, load: LoadReport { streams: Some(12.0), link: Some(0.4), uplink: None } }
-        Refused { sess: SessId(5), how: Moot, load: LoadReport { streams: None, link: None, uplink: None } }
-        Refused { sess: SessId(5), how: Erred, load: LoadReport { streams: None, link: None, uplink: None } }
-        Refused { sess: SessId(5), how: Withdrawn, load: LoadReport { streams: None, link: None, uplink: None } }
-        Free
-        Free
-        Released { sess: SessId(5), cause: 16, cseq: 7, load: LoadReport { streams: None, link: Some(0.5), uplink: None } }
-        Released { sess: SessId(5), cause: 41, cseq: 0, load: LoadReport { streams: None, link: None, uplink: None } }
-        Note { sess: SessId(5), note: Delivered(0.7) }
-        Note { sess: SessId(5), note: Rung(2) }
-        Note { sess: SessId(5), note: Link(1.25) }
-        Note { sess: SessId(5), note: Uplink(0.9) }
-        Free
-        Free"#]].assert_eq(&rows.iter().map(show).collect::<Vec<_>>().join("\n"));
+        Ignored
+        SetupAccepted { sess: SessId(5), blob: Some(""), load: LoadReport { streams: None, link: None, uplink: None } }
+        SetupRefused { sess: SessId(5), how: Erred, load: LoadReport { streams: None, link: None, uplink: None } }
+        SetupRefused { sess: SessId(5), how: BusyReplied, load: LoadReport { streams: Some(12.0), link: Some(0.4), uplink: None } }
+        SetupRefused { sess: SessId(5), how: Moot, load: LoadReport { streams: None, link: None, uplink: None } }
+        SetupRefused { sess: SessId(5), how: Erred, load: LoadReport { streams: None, link: None, uplink: None } }
+        SetupRefused { sess: SessId(5), how: Withdrawn, load: LoadReport { streams: None, link: None, uplink: None } }
+        Ignored
+        Ignored
+        SessionEnded { sess: SessId(5), cause: 16, cseq: 7, load: LoadReport { streams: None, link: Some(0.5), uplink: None } }
+        SessionEnded { sess: SessId(5), cause: 41, cseq: 0, load: LoadReport { streams: None, link: None, uplink: None } }
+        Notification { sess: SessId(5), notification: Delivered(0.7) }
+        Notification { sess: SessId(5), notification: Rung(2) }
+        Notification { sess: SessId(5), notification: Link(1.25) }
+        Notification { sess: SessId(5), notification: Uplink(0.9) }
+        Ignored
+        Ignored"#]].assert_eq(&rows.iter().map(show).collect::<Vec<_>>().join("\n"));
     // A cut session tells of a death only where the process may be another.
     assert_eq!(
-        [16, 31, 41].map(|why| media::ended(why, true)),
+        [16, 31, 41].map(|why| media::teardown_outcome(why, true)),
         [Ending::Served, Ending::Withdrawn, Ending::Broken]
     );
     assert_eq!(
-        [16, 31, 41].map(|why| media::ended(why, false)),
+        [16, 31, 41].map(|why| media::teardown_outcome(why, false)),
         [Ending::Served, Ending::Withdrawn, Ending::Withdrawn]
     );
 }
@@ -161,7 +161,7 @@
         "known": {"seq": 0, "results": []}, "settings": common::settings()});
     let read = |of: &serde_json::Value| {
         std::fs::write(&file, of.to_string()).expect("written");
-        Start::read(|name| (name == "PROXY_CONFIG").then(|| file.display().to_string())).map_or_else(
+        StartupConfig::read(|name| (name == "PROXY_CONFIG").then(|| file.display().to_string())).map_or_else(
             |e| e.0.replace(&file.display().to_string(), "FILE"),
             |s| format!("{} {:x}", s.name, s.seed),
         )
@@ -181,7 +181,7 @@
         told.push(read(&bad));
     }
     told.push(read(&serde_json::json!([])));
-    told.push(Start::read(|_| None).map_or_else(|e| e.0, |s| s.name));
+    told.push(StartupConfig::read(|_| None).map_or_else(|e| e.0, |s| s.name));
     std::fs::remove_dir_all(&dir).expect("removed");
     expect![[r#"
         n3 8c1f30d27a5be964
@@ -202,7 +202,7 @@
 
     #[test]
     fn lines_of_any_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = viewer::read(&bytes);
+        let _ = viewer::parse(&bytes);
     }
 
     #[test]
@@ -210,8 +210,8 @@
         let mut line = common::start(5, "paid", "home:4;copies:3;top:4;at:s-1", "v=0").into_bytes();
         let at = at.index(line.len());
         line[at] = to;
-        if let Ok(viewer::Word::Start(_, ask)) = viewer::read(&line) {
-            prop_assert!(ask.left.is_finite() && ask.key.len() <= 64 && ask.key.bytes().all(|b| b.is_ascii_graphic()));
+        if let Ok(viewer::ViewerMessage::Start(_, ask)) = viewer::parse(&line) {
+            prop_assert!(ask.time_left.is_finite() && ask.key.len() <= 64 && ask.key.bytes().all(|b| b.is_ascii_graphic()));
         }
     }
 
@@ -227,6 +227,6 @@
 
     #[test]
     fn events_of_any_text_never_panic(text in "[ -~]{0,200}") {
-        let _ = changes::read_event(&text);
+        let _ = changes::parse_event(&text);
     }
 }
--- a/crates/kelpdoor-platform/tests/common/mod.rs
+++ b/crates/kelpdoor-platform/tests/common/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
-use kelpdoor_platform::exchange::{Effect, Exchange, Failed, Input};
-use kelpdoor_platform::{Start, changes, viewer};
+use kelpdoor_platform::core::{ConnectFailure, Effect, Input, SessionCore};
+use kelpdoor_platform::{StartupConfig, changes, viewer};
 use kelpdoor_rtsp::{Version, parse_as};
 use serde_json::json;
 
@@ -31,17 +31,17 @@
 }
 
 /// A connection to a node that did not come up, with what the system says of it.
-pub fn no_link(link: u64, how: Failed) -> Input {
+pub fn no_link(link: u64, how: ConnectFailure) -> Input {
     let why = match how {
-        Failed::Refused => "Connection refused (os error 111)",
-        Failed::Silent => "no connection within 250 ms",
-        Failed::Ours => "Too many open files (os error 24)",
+        ConnectFailure::Refused => "Connection refused (os error 111)",
+        ConnectFailure::Unreachable => "no connection within 250 ms",
+        ConnectFailure::LocalResources => "Too many open files (os error 24)",
     };
-    Input::LinkFailed { link, how, why: why.to_owned() }
+    Input::LinkFailed { link, failure: how, why: why.to_owned() }
 }
 
 pub struct Story {
-    pub exchange: Exchange,
+    pub exchange: SessionCore,
     pub now: f64,
     pub trace: String,
 }
@@ -51,23 +51,24 @@
     pub fn new(nodes: u32, sockets: usize) -> Self {
         let hosts: Vec<_> = (1..=nodes).map(|n| host(n, "up")).collect();
         let known = json!({"seq": 1, "results": [{"seq": 1, "fleet": {"whole": true, "hosts": hosts}}]});
-        let (known, known_to) = changes::read_known(&known).expect("good events");
+        let (known, last_known_change) = changes::parse_known_events(&known).expect("good events");
         let (terms, report) = kelpdoor_terms::terms(&settings()).expect("good settings");
-        let start = Start {
-            file: "none".into(),
+        let start = StartupConfig {
+            config_path: "none".into(),
             name: "n0".into(),
             listen: ([127, 0, 0, 1], 0).into(),
             seed: 7,
-            sockets,
-            memory: 32 << 20,
+            max_sockets: sockets,
+            max_memory: 32 << 20,
             changelog: ([127, 0, 0, 1], 1).into(),
-            known,
-            known_to,
+            known_changes: known,
+            last_known_change,
             terms,
-            report,
-            named: kelpdoor_terms::named(&settings()).expect("good settings"),
+            report_fields: report,
+            names: kelpdoor_terms::named(&settings()).expect("good settings"),
         };
-        let mut story = Story { exchange: Exchange::new(&start, 1000.0), now: 1000.0, trace: String::new() };
+        let mut story =
+            Story { exchange: SessionCore::new(&start, 1000.0), now: 1000.0, trace: String::new() };
         story.pass(10.0);
         story
     }
@@ -75,36 +76,36 @@
     fn show(&mut self, effect: Effect) {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim_end().to_owned();
         let line = match effect {
-            Effect::Viewer { conn, bytes } => format!("viewer {conn} < {}", text(&bytes)),
-            Effect::ShutViewer { conn } => format!("viewer {conn} shut"),
-            Effect::Dial { link, address } => format!("link {link} dial {address}"),
-            Effect::Node { link, bytes } => {
+            Effect::SendViewer { conn, bytes } => format!("viewer {conn} < {}", text(&bytes)),
+            Effect::CloseViewer { conn } => format!("viewer {conn} shut"),
+            Effect::ConnectLink { link, address } => format!("link {link} dial {address}"),
+            Effect::SendNode { link, bytes } => {
                 let (_, len) = parse_as(Version::V1, &bytes).expect("RTSP").expect("whole");
                 assert_eq!(len, bytes.len(), "one message a write");
                 format!("link {link} < {}", text(&bytes).replace("\r\n", " | "))
             }
-            Effect::HangUp { link, at_once } => {
-                format!("link {link} hang up{}", if at_once { " at once" } else { "" })
+            Effect::CloseLink { link, immediate } => {
+                format!("link {link} hang up{}", if immediate { " at once" } else { "" })
             }
             Effect::Log(line) => format!("log: {line}"),
-            Effect::Fault(why) => format!("FAULT {why}"),
+            Effect::InternalError(why) => format!("FAULT {why}"),
         };
         self.trace.push_str(&format!("{:.2} {line}\n", self.now - 1000.0));
     }
 
     /// Something that comes in with whatever comes next, in one batch.
     pub fn take(&mut self, input: Input) {
-        self.exchange.take(self.now, 0.0, input);
+        self.exchange.handle_input(self.now, 0.0, input);
     }
 
     pub fn go(&mut self, input: Input) {
-        self.exchange.take(self.now, 0.0, input);
+        self.exchange.handle_input(self.now, 0.0, input);
         self.round();
     }
 
     fn round(&mut self) {
         let mut effects = Vec::new();
-        self.exchange.round(self.now, &mut |e| effects.push(e));
+        self.exchange.run_round(self.now, &mut |e| effects.push(e));
         effects.into_iter().for_each(|e| self.show(e));
     }
 
@@ -112,7 +113,7 @@
     pub fn pass(&mut self, seconds: f64) {
         let end = self.now + seconds;
         for _ in 0..100_000 {
-            let next = self.exchange.wake_at();
+            let next = self.exchange.next_timer_at();
             if next > end {
                 break;
             }
@@ -124,12 +125,12 @@
     }
 
     pub fn open(&mut self, conn: u64) {
-        self.go(Input::ViewerUp { conn });
+        self.go(Input::ViewerConnected { conn });
     }
 
     pub fn say(&mut self, conn: u64, line: &str) {
-        let word = viewer::read(line.as_bytes());
-        self.go(Input::Viewer { conn, word });
+        let message = viewer::parse(line.as_bytes());
+        self.go(Input::ViewerMessage { conn, message });
     }
 
     /// A set-up that any node may take, for 3 s.
@@ -143,7 +144,7 @@
         let head = head.replace('|', "\r\n");
         let whole = format!("{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let (message, _) = parse_as(Version::V1, whole.as_bytes()).expect("RTSP").expect("whole");
-        self.go(Input::Node { link, message });
+        self.go(Input::NodeMessage { link, message });
     }
 
     /// The node sets a session up.
@@ -152,7 +153,7 @@
     }
 
     pub fn up(&mut self, link: u64) {
-        self.go(Input::LinkUp { link });
+        self.go(Input::LinkConnected { link });
     }
 
     /// The connections dialled since the last call come up; the one that the last SETUP went out on.
--- a/crates/kelpdoor-platform/tests/exchange.rs
+++ b/crates/kelpdoor-platform/tests/session_core.rs
@@ -4,7 +4,7 @@
 
 use common::{Story, finish, no_link, start};
 use expect_test::expect;
-use kelpdoor_platform::exchange::{Failed, Input};
+use kelpdoor_platform::core::{ConnectFailure, Input};
 
 #[test]
 fn a_session_from_its_set_up_to_its_end() {
@@ -30,7 +30,7 @@
         11.00 viewer 1 < {"verb":"FINISH","tag":"0000000000000005","opts":{},"rc":16}
         11.00 link 0 < RTSP/1.0 200 OK | CSeq: 2 | Session: 0000000000000005 | Content-Length: 0
     "#]].assert_eq(&s.told());
-    assert_eq!(s.exchange.counts().standing, 0);
+    assert_eq!(s.exchange.counts().active_sessions, 0);
 }
 
 #[test]
@@ -57,7 +57,7 @@
     s.pass(2.2);
     assert_eq!(s.told().lines().filter(|l| l.contains("shut")).collect::<Vec<_>>(), ["12.00 viewer 2 shut"]);
     // It is told on another connection once its own is gone, and on the next one if there is none.
-    s.go(Input::ViewerLost { conn: 1 });
+    s.go(Input::ViewerDisconnected { conn: 1 });
     s.node(0, "TEARDOWN rtsp://media/x RTSP/1.0|CSeq: 2|Session: 0000000000000005|Reason: cause=16");
     s.told();
     s.open(3);
@@ -85,8 +85,8 @@
     assert!(told.contains("link 0 hang up") && !told.contains("link 1 hang up"), "one is enough: {told}");
     // Written before its node saw the close.
     s.node(0, "TEARDOWN rtsp://media/x RTSP/1.0|CSeq: 2|Session: 0000000000000006|Reason: cause=16");
-    s.go(Input::LinkLost { link: 0 });
-    assert_eq!(s.exchange.counts().standing, 2);
+    s.go(Input::LinkDisconnected { link: 0 });
+    assert_eq!(s.exchange.counts().active_sessions, 2);
     expect![[r#"
         12.20 viewer 1 < {"verb":"FINISH","tag":"0000000000000006","opts":{},"rc":16}
     "#]]
@@ -141,7 +141,7 @@
         s.ask(1, 5);
         s.up(0);
         s.told();
-        s.go(Input::LinkLost { link: 0 });
+        s.go(Input::LinkDisconnected { link: 0 });
         then(&mut s);
         s.told()
     };
@@ -155,7 +155,7 @@
         10.00 link 1 dial 10.1.0.2:5070
         10.00 link 2 dial 10.1.0.1:5070
     "#]]
-    .assert_eq(&lost(|s| s.go(no_link(1, Failed::Refused))));
+    .assert_eq(&lost(|s| s.go(no_link(1, ConnectFailure::Refused))));
 }
 
 #[test]
@@ -167,7 +167,7 @@
             s.pass(0.05);
         }
         s.pass(0.25);
-        s.go(no_link(link, Failed::Silent));
+        s.go(no_link(link, ConnectFailure::Unreachable));
         if s.trace.contains("FINISH") {
             break;
         }
@@ -184,11 +184,11 @@
 #[test]
 fn a_dead_process_is_known_by_refusals_and_its_sessions_are_told_at_once() {
     let mut s = Story::playing(1);
-    s.go(Input::LinkLost { link: 0 });
+    s.go(Input::LinkDisconnected { link: 0 });
     s.pass(0.35);
-    s.go(no_link(1, Failed::Refused));
+    s.go(no_link(1, ConnectFailure::Refused));
     s.pass(0.35);
-    s.go(no_link(2, Failed::Refused));
+    s.go(no_link(2, ConnectFailure::Refused));
     expect![[r#"
         10.00 link 1 dial 10.1.0.1:5070
         10.40 link 2 dial 10.1.0.1:5070
@@ -201,15 +201,15 @@
 #[test]
 fn nothing_is_owed_to_a_process_that_is_gone() {
     let mut s = Story::playing(1);
-    s.go(Input::LinkLost { link: 0 });
+    s.go(Input::LinkDisconnected { link: 0 });
     s.say(1, &finish(5, 16));
-    assert_eq!(s.exchange.counts().owed, 1);
-    s.go(no_link(1, Failed::Refused));
+    assert_eq!(s.exchange.counts().pending, 1);
+    s.go(no_link(1, ConnectFailure::Refused));
     s.pass(2.2);
-    s.go(no_link(2, Failed::Refused));
+    s.go(no_link(2, ConnectFailure::Refused));
     s.told();
     s.pass(10.0);
-    assert_eq!((s.exchange.counts().owed, s.told().contains("dial")), (0, false));
+    assert_eq!((s.exchange.counts().pending, s.told().contains("dial")), (0, false));
 }
 
 #[test]
@@ -217,7 +217,7 @@
     let mut s = Story::playing(1);
     for link in 1..30 {
         s.pass(1.6);
-        s.go(no_link(link, Failed::Refused));
+        s.go(no_link(link, ConnectFailure::Refused));
     }
     let told = s.told();
     let told: Vec<&str> = told.lines().filter(|l| !l.contains("dial")).collect();
@@ -240,8 +240,8 @@
     s.ask(1, 6);
     assert!(s.told().contains("SETUP"), "a reset answer does not bar the node for the next session");
     // A death does: its connection is gone and no other comes up.
-    s.go(Input::LinkLost { link: 0 });
-    s.go(no_link(1, Failed::Refused));
+    s.go(Input::LinkDisconnected { link: 0 });
+    s.go(no_link(1, ConnectFailure::Refused));
     s.told();
     s.ask(1, 7);
     assert!(s.told().contains("\"rc\":42"), "a dead node is barred");
@@ -250,8 +250,8 @@
 #[test]
 fn a_connection_that_goes_bad_is_replaced_as_a_release_may_have_gone_with_it() {
     let bad: [fn(&mut Story, u64); 3] = [
-        |s, link| s.go(Input::LinkLost { link }),
-        |s, link| s.go(Input::LinkSpoilt { link, why: "noise".into() }),
+        |s, link| s.go(Input::LinkDisconnected { link }),
+        |s, link| s.go(Input::LinkCorrupted { link, why: "noise".into() }),
         |s, _| s.pass(0.7),
     ];
     for of in bad {
@@ -293,7 +293,7 @@
     s.ask(1, 6);
     let link = s.settle();
     s.told();
-    s.go(Input::LinkSpoilt { link, why: "noise".into() });
+    s.go(Input::LinkCorrupted { link, why: "noise".into() });
     let link = s.settle();
     expect![[r#"
         10.00 log: s-1: a connection is spoilt under 1 SETUPs: noise
@@ -329,10 +329,10 @@
     // Before it was sent: it never leaves.
     s.ask(1, 6);
     s.told();
-    s.go(Input::ViewerLost { conn: 1 });
+    s.go(Input::ViewerDisconnected { conn: 1 });
     s.pass(0.01);
     expect![""].assert_eq(&s.told());
-    assert_eq!((s.exchange.counts().open, s.exchange.counts().standing), (0, 0));
+    assert_eq!((s.exchange.counts().open_setups, s.exchange.counts().active_sessions), (0, 0));
 }
 
 #[test]
@@ -363,7 +363,7 @@
     assert!(s.told().contains("SETUP"), "the same process: nothing against it");
     // Its only connection was lost, and the one that came up since may be to another process.
     let mut s = Story::playing(1);
-    s.go(Input::LinkLost { link: 0 });
+    s.go(Input::LinkDisconnected { link: 0 });
     s.pass(0.1);
     s.up(1);
     s.node(1, cut);
@@ -392,7 +392,7 @@
     "#]].assert_debug_eq(&rung(&told));
     let mut s = Story::playing(1);
     step_down(&mut s);
-    s.take(Input::LinkLost { link: 0 });
+    s.take(Input::LinkDisconnected { link: 0 });
     s.pass(0.2);
     assert_eq!(rung(&s.told()), None);
     s.settle_all();
@@ -452,7 +452,7 @@
     // A little later, with less time left.
     s.say(2, &start(5, "lecture", "home:0;copies:4;top:4", "v=0").replace("3000", "2960"));
     s.told();
-    s.go(Input::ViewerLost { conn: 1 });
+    s.go(Input::ViewerDisconnected { conn: 1 });
     s.serves(0, 5);
     expect![[r#"
         10.00 viewer 2 < {"verb":"STARTED","tag":"0000000000000005","opts":{},"blob":"answer 5"}
@@ -462,7 +462,7 @@
 
 #[test]
 fn an_id_that_comes_again_while_it_is_given_up_is_answered_too() {
-    let word = |line: String| kelpdoor_platform::viewer::read(line.as_bytes());
+    let word = |line: String| kelpdoor_platform::viewer::parse(line.as_bytes());
     let mut s = Story::new(1, 256);
     s.open(1);
     s.ask(1, 5);
@@ -470,21 +470,21 @@
     s.told();
     let again = || start(5, "lecture", "home:0;copies:4;top:4", "v=0");
     // A connection lost under its SETUP and the set-up sent again, in one batch.
-    s.take(Input::ViewerLost { conn: 1 });
-    s.take(Input::ViewerUp { conn: 2 });
-    s.go(Input::Viewer { conn: 2, word: word(again()) });
+    s.take(Input::ViewerDisconnected { conn: 1 });
+    s.take(Input::ViewerConnected { conn: 2 });
+    s.go(Input::ViewerMessage { conn: 2, message: word(again()) });
     // Asked, given up and asked again before the decisions heard of it.
     let other = || again().replace("0000000000000005", "0000000000000006");
-    s.take(Input::Viewer { conn: 2, word: word(other()) });
-    s.take(Input::Viewer { conn: 2, word: word(finish(6, 16)) });
-    s.go(Input::Viewer { conn: 2, word: word(other()) });
+    s.take(Input::ViewerMessage { conn: 2, message: word(other()) });
+    s.take(Input::ViewerMessage { conn: 2, message: word(finish(6, 16)) });
+    s.go(Input::ViewerMessage { conn: 2, message: word(other()) });
     expect![[r#"
         10.00 viewer 2 < {"verb":"FINISH","tag":"0000000000000005","opts":{"wait":1000},"rc":42}
         10.00 link 0 < TEARDOWN rtsp://media/0000000000000005 RTSP/1.0 | CSeq: 2 | Session: 0000000000000005 | Content-Length: 0
         10.00 link 0 hang up
         10.00 viewer 2 < {"verb":"FINISH","tag":"0000000000000006","opts":{"wait":1000},"rc":42}
     "#]].assert_eq(&s.told());
-    assert_eq!((s.exchange.counts().open, s.exchange.counts().timers), (0, 0));
+    assert_eq!((s.exchange.counts().open_setups, s.exchange.counts().timers), (0, 0));
 }
 
 #[test]
@@ -494,7 +494,7 @@
     s.ask(1, 5);
     s.up(0);
     s.told();
-    s.go(Input::LinkLost { link: 0 });
+    s.go(Input::LinkDisconnected { link: 0 });
     s.pass(0.7);
     s.up(1);
     expect![[r#"
@@ -509,9 +509,9 @@
     let mut s = Story::playing(1);
     for link in 1..20 {
         s.pass(1.6);
-        s.go(no_link(link, Failed::Ours));
+        s.go(no_link(link, ConnectFailure::LocalResources));
     }
-    assert!(!s.told().contains("FINISH") && s.exchange.counts().standing == 1);
+    assert!(!s.told().contains("FINISH") && s.exchange.counts().active_sessions == 1);
 }
 
 #[test]
@@ -524,7 +524,7 @@
         )
     };
     for text in [line("s-1", 6000), line("s-1", 5070), line("s-1", 6000)] {
-        s.go(Input::Change(kelpdoor_platform::changes::read_event(&text).expect("good")));
+        s.go(Input::Change(kelpdoor_platform::changes::parse_event(&text).expect("good")));
     }
     s.open(1);
     s.ask(1, 5);
@@ -535,13 +535,13 @@
 #[test]
 fn a_director_about_to_end_refuses_with_when_to_come_back_and_leaves_no_timer() {
     let mut s = Story::playing(1);
-    s.exchange.close();
+    s.exchange.refuse_setups();
     s.ask(1, 6);
     assert_eq!(
         s.told(),
         "10.00 viewer 1 < {\"verb\":\"FINISH\",\"tag\":\"0000000000000006\",\"opts\":{\"wait\":1000},\"rc\":42}\n"
     );
-    assert_eq!((s.exchange.counts().open, s.exchange.counts().timers), (0, 0));
+    assert_eq!((s.exchange.counts().open_setups, s.exchange.counts().timers), (0, 0));
 }
 
 #[test]
@@ -549,20 +549,20 @@
     let mut s = Story::new(1, 256);
     let big = "v".repeat(15 << 10);
     for conn in 1..=6 {
-        s.take(Input::ViewerUp { conn });
+        s.take(Input::ViewerConnected { conn });
         for k in 0..100 {
-            s.take(Input::Viewer {
+            s.take(Input::ViewerMessage {
                 conn,
-                word: kelpdoor_platform::viewer::read(
+                message: kelpdoor_platform::viewer::parse(
                     start(conn * 1000 + k, "lecture", "home:0;copies:4;top:4", &big).as_bytes(),
                 ),
             });
         }
     }
     let c = s.exchange.counts();
-    assert!(c.bytes <= 4 << 20 && c.bytes > 3 << 20 && c.open < 300, "{c:?}");
+    assert!(c.description_bytes <= 4 << 20 && c.description_bytes > 3 << 20 && c.open_setups < 300, "{c:?}");
     s.pass(4.0);
-    assert_eq!((s.exchange.counts().bytes, s.exchange.counts().open), (0, 0));
+    assert_eq!((s.exchange.counts().description_bytes, s.exchange.counts().open_setups), (0, 0));
     assert_eq!(s.told().matches("\"tag\"").count(), 600, "each is answered once");
 }
 
@@ -603,7 +603,7 @@
     // The newest connection has only said that something plays.
     s.open(3);
     s.say(3, &start(7, "lecture", "home:0;copies:4;top:4;at:s-1", ""));
-    s.go(Input::ViewerLost { conn: 1 });
+    s.go(Input::ViewerDisconnected { conn: 1 });
     s.told();
     s.node(0, "TEARDOWN rtsp://media/x RTSP/1.0|CSeq: 2|Session: 0000000000000005|Reason: cause=16");
     let told = s.told();
@@ -641,14 +641,14 @@
     s.ask(1, 5);
     s.up(0);
     s.told();
-    s.go(Input::ViewerOverlong { conn: 1 });
+    s.go(Input::ViewerLineTooLong { conn: 1 });
     expect![[r#"
         10.00 viewer 1 < {"verb":"FINISH","tag":"0000000000000000","opts":{},"rc":111}
         10.00 viewer 1 shut
         10.00 link 0 < TEARDOWN rtsp://media/0000000000000005 RTSP/1.0 | CSeq: 2 | Session: 0000000000000005 | Content-Length: 0
         10.00 link 0 hang up
     "#]].assert_eq(&s.told());
-    assert_eq!(s.exchange.counts().open, 0);
+    assert_eq!(s.exchange.counts().open_setups, 0);
 }
 
 #[test]
@@ -657,29 +657,29 @@
     [1, 2].into_iter().for_each(|conn| s.open(conn));
     for id in 100..500 {
         let line = start(id, "lecture", "home:0;copies:4;top:4", "v=0");
-        s.take(Input::Viewer { conn: 1, word: kelpdoor_platform::viewer::read(line.as_bytes()) });
+        s.take(Input::ViewerMessage { conn: 1, message: kelpdoor_platform::viewer::parse(line.as_bytes()) });
     }
-    assert_eq!(s.exchange.counts().open, 160);
+    assert_eq!(s.exchange.counts().open_setups, 160);
     // The other connection's is handed to the decisions all the same.
-    s.take(Input::Viewer {
+    s.take(Input::ViewerMessage {
         conn: 2,
-        word: kelpdoor_platform::viewer::read(
+        message: kelpdoor_platform::viewer::parse(
             start(999, "lecture", "home:0;copies:4;top:4", "v=0").as_bytes(),
         ),
     });
-    assert_eq!(s.exchange.counts().open, 161);
+    assert_eq!(s.exchange.counts().open_setups, 161);
     s.pass(0.01);
-    assert_eq!(s.told().matches("FINISH").count() + s.exchange.counts().open, 401);
-    s.go(Input::ViewerLost { conn: 1 });
+    assert_eq!(s.told().matches("FINISH").count() + s.exchange.counts().open_setups, 401);
+    s.go(Input::ViewerDisconnected { conn: 1 });
     s.pass(0.1);
-    assert_eq!(s.exchange.counts().open, 0);
-    assert_eq!(s.exchange.counts().owed, 0);
+    assert_eq!(s.exchange.counts().open_setups, 0);
+    assert_eq!(s.exchange.counts().pending, 0);
 }
 
 #[test]
 fn viewers_beyond_the_bound_take_the_place_of_the_one_idle_for_longest() {
     let mut s = Story::new(1, 64);
-    let most = s.exchange.most_viewers() as u64;
+    let most = s.exchange.max_viewers() as u64;
     (1..=most).for_each(|conn| s.open(conn));
     s.ask(1, 5);
     s.told();
@@ -693,8 +693,8 @@
     let mut s = Story::playing(1);
     let moved = r#"{"seq":2,"fleet":{"hosts":[{"host":"s-1","health":"removed"},{"host":"s-9","dial":"10.1.0.1:5070","site":"dc1",
         "class":"box-3c","block":1,"health":"up","share":3,"born_ms":1010000}]}}"#;
-    s.go(Input::Change(kelpdoor_platform::changes::read_event(moved).expect("good")));
-    s.go(Input::LinkLost { link: 0 });
+    s.go(Input::Change(kelpdoor_platform::changes::parse_event(moved).expect("good")));
+    s.go(Input::LinkDisconnected { link: 0 });
     s.pass(1.0);
     expect![[r#"
         10.30 log: s-1 cannot be reached (its address is another node's now): 1 sessions there are over; tried again with the next SETUP to it
@@ -720,7 +720,7 @@
     let mut s = Story::new(2, 256);
     s.open(1);
     s.ask(1, 5);
-    s.go(no_link(0, Failed::Silent));
+    s.go(no_link(0, ConnectFailure::Unreachable));
     s.up(1);
     expect![[r#"
         10.00 link 0 dial 10.1.0.2:5070
@@ -737,11 +737,11 @@
         s.ask(1, id);
     }
     let c = s.exchange.counts();
-    assert!(c.links <= 6 && c.open > c.links, "{c:?}");
+    assert!(c.links <= 6 && c.open_setups > c.links, "{c:?}");
 }
 
 fn told(text: &str) -> Input {
-    Input::Change(kelpdoor_platform::changes::read_event(text).expect("good"))
+    Input::Change(kelpdoor_platform::changes::parse_event(text).expect("good"))
 }
 
 #[test]
@@ -778,33 +778,35 @@
     let mut s = Story::new(1, 256);
     s.open(1);
     s.ask(1, 5);
-    s.take(Input::ViewerLost { conn: 1 });
+    s.take(Input::ViewerDisconnected { conn: 1 });
     s.up(0);
     expect![[r#"
         10.00 link 0 dial 10.1.0.1:5070
     "#]]
     .assert_eq(&s.told());
-    assert_eq!((s.exchange.counts().open, s.exchange.counts().timers), (0, 0));
+    assert_eq!((s.exchange.counts().open_setups, s.exchange.counts().timers), (0, 0));
 }
 
 #[test]
 fn a_set_up_read_before_its_connection_gave_way_is_refused_on_it() {
     let mut s = Story::new(1, 64);
-    let most = s.exchange.most_viewers() as u64;
+    let most = s.exchange.max_viewers() as u64;
     (1..=most).for_each(|conn| s.open(conn));
     s.told();
     // Its START stands in line behind the newcomer that takes its place.
-    s.take(Input::ViewerUp { conn: most + 1 });
-    s.go(Input::Viewer {
+    s.take(Input::ViewerConnected { conn: most + 1 });
+    s.go(Input::ViewerMessage {
         conn: 1,
-        word: kelpdoor_platform::viewer::read(start(5, "lecture", "home:0;copies:4;top:4", "v=0").as_bytes()),
+        message: kelpdoor_platform::viewer::parse(
+            start(5, "lecture", "home:0;copies:4;top:4", "v=0").as_bytes(),
+        ),
     });
     expect![[r#"
         10.00 viewer 1 shut
         10.00 viewer 1 < {"verb":"FINISH","tag":"0000000000000005","opts":{"wait":1000},"rc":42}
     "#]]
     .assert_eq(&s.told());
-    assert_eq!(s.exchange.counts().open, 0);
+    assert_eq!(s.exchange.counts().open_setups, 0);
 }
 
 #[test]
--- a/crates/kelpdoord/src/lib.rs
+++ b/crates/kelpdoord/src/lib.rs
@@ -16,7 +16,7 @@
 use kelpdoor_clock::Steady;
 use kelpdoor_director::{Following, ServeOptions, journal, keeper_options, serve};
 use kelpdoor_keeper::{Agreed, Ask, RunningVoter, Sold, Tell, VoterOptions, start_voter};
-use kelpdoor_platform::{Start, StartFault};
+use kelpdoor_platform::{StartupConfig, StartupError};
 use kelpdoor_script::{Deployment, Fault, KEEPER, KeeperBook, Own, Voter};
 use kelpdoor_tokens::KeySet;
 use tokio::signal::unix::{SignalKind, signal};
@@ -453,7 +453,7 @@
         }
         What::Seats { keeper, json } => seats(keeper, json),
         What::Platform { log_filter } => {
-            let start = Start::read(|name| std::env::var(name).ok())?;
+            let start = StartupConfig::read(|name| std::env::var(name).ok())?;
             logs(LogForm::Text, &log_filter)?;
             let listen = start.listen;
             kelpdoor_platform::run(start).with_context(|| format!("listening on {listen}"))
@@ -484,7 +484,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("kelpdoord: {e:#}");
-            if e.is::<StartFault>() {
+            if e.is::<StartupError>() {
                 return ExitCode::from(2);
             }
             ExitCode::FAILURE
