--- a/crates/kelpdoor-api/src/lib.rs
+++ b/crates/kelpdoor-api/src/lib.rs
@@ -1,100 +1,102 @@
-//! The session API that players speak: JSON text messages over WebSocket (RFC 6455), subprotocol
-//! [`SUBPROTOCOL`]. Types, their reading with plain errors, and the JSON schema. No I/O, no state.
-//! `docs/session-api.md` describes it for those who write players.
+//! The session API between players and a director: JSON text messages over WebSocket (RFC 6455) with the subprotocol
+//! [`SUBPROTOCOL`].
+//!
+//! The crate holds the message types, their validation and their JSON schema; it keeps no state and does no I/O.
+//! `docs/session-api.md` describes the API for authors of players.
 
 use schemars::JsonSchema;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// What a player names in `Sec-WebSocket-Protocol`; the version is part of it.
+/// The subprotocol, with its version, that a player requests in `Sec-WebSocket-Protocol`.
 pub const SUBPROTOCOL: &str = "kelpdoor.session.v1";
-/// Bytes of a message from a player at most.
+/// Maximum length of a message from a player in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4096;
-/// Bytes of an entitlement token at most.
+/// Maximum length of an entitlement token in bytes.
 pub const MAX_TOKEN_BYTES: usize = 2048;
 /// Minimum length of a request key in bytes: long enough that nobody guesses another's key.
 pub const MIN_KEY_BYTES: usize = 8;
 /// Maximum length of a request key in bytes.
 pub const MAX_KEY_BYTES: usize = 64;
-/// Bytes of a group's or title's name at most.
+/// Maximum length of the name of a group or title in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Seconds; the longest setup timeout taken.
+/// Longest setup timeout accepted, in seconds.
 pub const MAX_SETUP_TIMEOUT: f64 = 60.0;
 
-/// A player's own name for one request; a retry carries the same one.
+/// The player's own identifier of one request; a retry carries the same key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 pub struct RequestKey(pub String);
 
-/// From the player.
+/// Message from a player to a director.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 #[schemars(tag = "type")]
 pub enum FromPlayer {
-    /// Asks for a session, or, with a key already used, for the answer to that request once more.
+    /// Requests a session. With a key that was used before, requests the answer to that request again.
     Start {
         key: RequestKey,
         group: String,
         title: String,
-        /// Highest rung that the viewer can use, from 0.
+        /// Highest rung that the viewer can play, from 0.
         best_rung: u8,
-        /// Seconds until the viewer gives up.
+        /// Seconds after which the viewer gives up.
         setup_timeout: f64,
-        /// An entitlement (JWT), for groups that need one.
+        /// Entitlement token (JWT), for groups that require one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         token: Option<String>,
     },
-    /// Shows a token with the same school and id and a later expiry, for a session that runs.
+    /// Presents a token with the same school and id and a later expiry for a running session.
     Renew { key: RequestKey, token: String },
-    /// The viewer is done, or no longer wants the answer.
+    /// Ends the session, or withdraws the request before its answer.
     Stop { key: RequestKey },
-    /// Asks for a `pong` with the same number.
+    /// Requests a `pong` with the same number.
     Ping { n: u64 },
 }
 
-/// To the player. `playing`, `busy` and `failed` are final answers: one for each request key.
+/// Message from a director to a player. `playing`, `busy` and `failed` are final answers; each request key gets one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(tag = "type")]
 pub enum ToPlayer {
-    /// The session plays from that address at that rung; a lost socket leaves it for `resume_for` seconds.
+    /// The session plays from `uri` at `rung`. It outlives the loss of its socket by `resume_for` seconds.
     Playing {
         key: RequestKey,
         uri: String,
         rung: u8,
         resume_for: f64,
     },
-    /// Not now; asking again, with a new key and after `come_back` seconds where given, does no harm.
+    /// The request cannot be served now. It may safely be repeated with a new key, after `come_back` seconds if given.
     Busy {
         key: RequestKey,
         come_back: Option<f64>,
     },
-    /// It failed, and may have run.
+    /// The request failed, and its set-up may have run.
     Failed {
         key: RequestKey,
         why: FailureReason,
     },
-    /// The session's rung is another from now on.
+    /// The session continues at this rung.
     Rung {
         key: RequestKey,
         rung: u8,
     },
-    /// The session's token runs out; unless it is renewed, the session ends `after` seconds from now.
+    /// The session's token expires soon. Unless it is renewed, the session ends in `after` seconds.
     Expiring {
         key: RequestKey,
         after: f64,
     },
-    /// The session's token is good for so many seconds from now.
+    /// The session's token was renewed and is valid for `lasts` seconds from now.
     Renewed {
         key: RequestKey,
         lasts: f64,
     },
-    /// A session that played is over.
+    /// A session that played has ended.
     Ended {
         key: RequestKey,
         why: EndReason,
     },
-    /// That message was not taken; nothing else is touched.
+    /// The player's message was rejected. Other requests and sessions are unaffected.
     Error {
         key: Option<RequestKey>,
         code: ErrorCode,
@@ -105,44 +107,47 @@
     },
 }
 
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "FailedWhy")]
 pub enum FailureReason {
-    /// No SETUP came to an answer in time, and it cannot be shown that none ran.
+    /// No SETUP was answered in time, and it cannot be proved that none ran.
     NoAnswer,
-    /// The player stopped it before an answer.
+    /// The player stopped the request before an answer.
     Stopped,
-    /// Its token expired before an answer.
+    /// The token expired before an answer.
     Expired,
-    /// Its token's seat went to a later request.
+    /// The token's seat went to a later request.
     SeatMoved,
-    /// Its seat could not be kept: the keeper of seats was away for too long.
+    /// The seat could not be kept, because the keeper of seats was unreachable for too long.
     SeatLost,
 }
 
+/// Why a session that played has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "EndedWhy")]
 pub enum EndReason {
-    /// The player asked.
+    /// The player stopped the session.
     Stopped,
-    /// The title is over.
+    /// The title ended.
     Finished,
-    /// Its node was lost; the viewer may start anew with a new key.
+    /// The media node was lost; the viewer may start again with a new key.
     NodeLost,
-    /// The director took it off its node; the viewer may start anew with a new key.
+    /// The director removed the session from its media node; the viewer may start again with a new key.
     Shifted,
     /// The director shuts down.
     Closing,
-    /// Its token expired without a renewal.
+    /// The token expired without a renewal.
     Expired,
-    /// Its token's seat went to a later request, here or at another director.
+    /// The token's seat went to a later request, at this or another director.
     SeatMoved,
-    /// Its seat could not be kept: the keeper of seats was away for too long.
+    /// The seat could not be kept, because the keeper of seats was unreachable for too long.
     SeatLost,
 }
 
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
@@ -150,44 +155,40 @@
     BadMessage,
     UnknownGroup,
     UnknownTitle,
-    /// The viewer's best rung is under the group's floor.
+    /// The viewer's best rung is below the group's lowest rung.
     RungTooLow,
-    /// The key stands for another request.
+    /// The key was used for a different request.
     KeyConflict,
-    /// No session has that key.
+    /// No session has this key.
     UnknownKey,
-    /// More messages or tokens a second than a socket may send, or more tokens than the director verifies.
+    /// The socket exceeds its rate of messages or tokens, or the director its rate of token verifications.
     TooFast,
-    /// The group needs a token, and none came.
+    /// The group requires a token and none was sent.
     TokenMissing,
-    /// The token is not taken; the message says why, and what helps.
+    /// The token was rejected; `message` gives the reason and the remedy.
     TokenRefused,
 }
 
-/// Why a text is no message of a player.
+/// Why a text is not a valid message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    #[error("{0} bytes, {MAX_MESSAGE_BYTES} at most")]
+    #[error("message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES}")]
     TooLong(usize),
-    #[error("not a message: {0}")]
+    #[error("malformed message: {0}")]
     Malformed(String),
-    #[error(
-        "key: {len} bytes of letters, digits, - and _ are asked for, {} to {}",
-        MIN_KEY_BYTES,
-        MAX_KEY_BYTES
-    )]
+    #[error("key: {len} bytes, must be {} to {} letters, digits, - and _", MIN_KEY_BYTES, MAX_KEY_BYTES)]
     Key { len: usize },
-    #[error("{field}: {len} bytes, 1 to {MAX_NAME_BYTES} are allowed")]
+    #[error("{field}: {len} bytes, must be 1 to {MAX_NAME_BYTES}")]
     Name { field: &'static str, len: usize },
-    #[error("token: {len} bytes, 1 to {MAX_TOKEN_BYTES} are allowed")]
+    #[error("token: {len} bytes, must be 1 to {MAX_TOKEN_BYTES}")]
     Token { len: usize },
-    #[error("setup_timeout: {0}, above 0 and up to {MAX_SETUP_TIMEOUT} s are allowed")]
+    #[error("setup_timeout: {0} s, must be above 0 and at most {MAX_SETUP_TIMEOUT}")]
     SetupTimeout(String),
 }
 
-/// Reads `{"type": "x", ..}` as the variant `x`. Not by serde's own tagging: that reads numbers into a buffer
-/// first, which fails for fractions once any crate of the program asks serde_json for arbitrary precision.
-fn untag<T: DeserializeOwned>(text: &str) -> Result<T, serde_json::Error> {
+/// Deserializes `{"type": "x", ..}` as the variant `x`. Serde's internal tagging is not used: it buffers numbers, which
+/// fails for fractions as soon as any crate of the program enables serde_json's `arbitrary_precision`.
+fn parse_tagged<T: DeserializeOwned>(text: &str) -> Result<T, serde_json::Error> {
     let mut fields: Map<String, Value> = serde_json::from_str(text)?;
     let Some(Value::String(kind)) = fields.remove("type") else {
         return Err(serde::de::Error::missing_field("type"));
@@ -195,8 +196,8 @@
     serde_json::from_value(Value::Object(Map::from_iter([(kind, Value::Object(fields))])))
 }
 
-/// Writes the variant `x` as `{"type": "x", ..}`.
-fn tag(message: &impl Serialize) -> String {
+/// Serializes the variant `x` as `{"type": "x", ..}`.
+fn write_tagged(message: &impl Serialize) -> String {
     let Ok(Value::Object(outer)) = serde_json::to_value(message) else {
         unreachable!("variants with fields")
     };
@@ -209,15 +210,15 @@
 }
 
 impl FromPlayer {
-    /// Reads and checks a message.
+    /// Parses and validates a message.
     ///
     /// # Errors
-    /// A [`MessageError`] that names the field, for the `error` message to the player.
+    /// A [`MessageError`] that names the bad field, for the `error` message to the player.
     pub fn parse(text: &str) -> Result<Self, MessageError> {
         if text.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong(text.len()));
         }
-        let message: FromPlayer = untag(text).map_err(|e| MessageError::Malformed(e.to_string()))?;
+        let message: FromPlayer = parse_tagged(text).map_err(|e| MessageError::Malformed(e.to_string()))?;
         let token = match &message {
             FromPlayer::Start { token, .. } => token.as_deref(),
             FromPlayer::Renew { token, .. } => Some(token.as_str()),
@@ -248,25 +249,27 @@
         Ok(message)
     }
 
+    /// The message as JSON text.
     pub fn text(&self) -> String {
-        tag(self)
+        write_tagged(self)
     }
 }
 
 impl ToPlayer {
-    /// Reads a director's message, as a player does.
+    /// Parses a message, as a player does.
     ///
     /// # Errors
-    /// What is wrong with the text.
+    /// A [`MessageError`] if the text is malformed.
     pub fn parse(text: &str) -> Result<Self, MessageError> {
-        untag(text).map_err(|e| MessageError::Malformed(e.to_string()))
+        parse_tagged(text).map_err(|e| MessageError::Malformed(e.to_string()))
     }
 
+    /// The message as JSON text.
     pub fn text(&self) -> String {
-        tag(self)
+        write_tagged(self)
     }
 
-    /// The request that it is about.
+    /// Key of the request that the message refers to.
     pub fn key(&self) -> Option<&RequestKey> {
         match self {
             ToPlayer::Playing { key, .. }
@@ -281,12 +284,13 @@
         }
     }
 
+    /// Whether the message is the final answer to its request.
     pub fn is_final(&self) -> bool {
         matches!(self, ToPlayer::Playing { .. } | ToPlayer::Busy { .. } | ToPlayer::Failed { .. })
     }
 }
 
-/// The JSON schema (2020-12) of both directions.
+/// The JSON schemas (2020-12) of the messages in both directions.
 pub fn schema() -> serde_json::Value {
     serde_json::json!({
         "from_player": schemars::schema_for!(FromPlayer),
--- a/crates/kelpdoor-api/tests/messages.rs
+++ b/crates/kelpdoor-api/tests/messages.rs
@@ -1,4 +1,4 @@
-//! What players may send, and how each fault reads; the schema kept in docs/ against the types.
+//! Validation of players' messages with the text of each error, and the schema file in docs/ against the types.
 
 use expect_test::{expect, expect_file};
 use kelpdoor_api::*;
@@ -6,7 +6,7 @@
 use proptest::test_runner::RngSeed;
 
 #[test]
-fn each_fault_names_its_field() {
+fn invalid_message_error_names_the_field() {
     let start = |key: &str, title: &str, timeout: &str| {
         format!(
             r#"{{"type":"start","key":"{key}","group":"g","title":"{title}","best_rung":1,"setup_timeout":{timeout}}}"#
@@ -29,26 +29,26 @@
         "x".repeat(5000),
     ];
     let shown: Vec<String> =
-        cases.iter().map(|c| FromPlayer::parse(c).expect_err("a fault").to_string()).collect();
+        cases.iter().map(|c| FromPlayer::parse(c).expect_err("an error").to_string()).collect();
     expect![[r#"
-        not a message: expected value at line 1 column 1
-        not a message: missing field `type`
-        not a message: unknown variant `jump`, expected one of `start`, `renew`, `stop`, `ping`
-        not a message: missing field `n`
-        not a message: unknown field `m`, expected `n`
-        key: 5 bytes of letters, digits, - and _ are asked for, 8 to 64
-        key: 15 bytes of letters, digits, - and _ are asked for, 8 to 64
-        title: 129 bytes, 1 to 128 are allowed
-        title: 0 bytes, 1 to 128 are allowed
-        setup_timeout: 0, above 0 and up to 60 s are allowed
-        setup_timeout: 61, above 0 and up to 60 s are allowed
-        not a message: invalid type: string "3", expected f64
-        5000 bytes, 4096 at most"#]]
+        malformed message: expected value at line 1 column 1
+        malformed message: missing field `type`
+        malformed message: unknown variant `jump`, expected one of `start`, `renew`, `stop`, `ping`
+        malformed message: missing field `n`
+        malformed message: unknown field `m`, expected `n`
+        key: 5 bytes, must be 8 to 64 letters, digits, - and _
+        key: 15 bytes, must be 8 to 64 letters, digits, - and _
+        title: 129 bytes, must be 1 to 128
+        title: 0 bytes, must be 1 to 128
+        setup_timeout: 0 s, must be above 0 and at most 60
+        setup_timeout: 61 s, must be above 0 and at most 60
+        malformed message: invalid type: string "3", expected f64
+        message of 5000 bytes exceeds the limit of 4096"#]]
     .assert_eq(&shown.join("\n"));
 }
 
 #[test]
-fn the_schema_in_the_documents_is_that_of_the_types() {
+fn schema_file_matches_the_types() {
     let text = serde_json::to_string_pretty(&schema()).unwrap() + "\n";
     expect_file!["../../../docs/session-api.schema.json"].assert_eq(&text);
 }
@@ -57,12 +57,12 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn any_text_never_panics(text in "\\PC{0,200}") {
+    fn arbitrary_text_does_not_panic(text in "\\PC{0,200}") {
         let _ = FromPlayer::parse(&text);
     }
 
     #[test]
-    fn what_is_written_reads_back(
+    fn written_message_parses_back(
         key in "[A-Za-z0-9_-]{8,64}", title in "[a-z]{1,20}", rung in any::<u8>(), timeout in 0.001..60.0f64,
     ) {
         let start = FromPlayer::Start {
@@ -71,9 +71,9 @@
     }
 }
 
-/// What the fuzz target checks, on its kept corpus.
+/// The check of the fuzz target, on its stored corpus.
 #[test]
-fn the_corpus_holds() {
+fn fuzz_corpus_parses_back() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fuzz/corpus/api");
     let (mut seen, mut good) = (0, 0);
     for file in std::fs::read_dir(folder).expect("a corpus") {
--- a/fuzz/fuzz_targets/api.rs
+++ b/fuzz/fuzz_targets/api.rs
@@ -1,5 +1,5 @@
 #![no_main]
-//! What is read is written and read to the same again; nothing panics.
+//! A parsed message is written and parsed back to the same message; no input may panic.
 
 use libfuzzer_sys::fuzz_target;
 
