--- a/crates/kelpdoor-script/src/lib.rs
+++ b/crates/kelpdoor-script/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings and trouble scripts, written in Starlark and bounded in steps and memory.
+//! Settings and trouble scripts in Starlark, evaluated with limits on steps and memory.
 //!
-//! A script calls words (`group("lecture", utility = 2)`); [`evaluate`] collects the calls with their places, and
-//! [`Deployment::from_calls`] or whoever reads them checks them against types. Nothing here decides.
+//! A script calls builtins such as `group("lecture", utility = 2)`. [`evaluate`] collects the calls with their source
+//! positions; [`Deployment::from_calls`] and other readers check them against types.
 
 mod deployment;
 mod eval;
@@ -16,7 +16,7 @@
 };
 pub use eval::{Call, SettingsError, SourcePosition, evaluate, evaluate_file};
 
-/// Words of a deployment's settings.
+/// Builtins of a director's complete settings.
 pub const DEPLOYMENT_BUILTINS: &[&str] = &[
     "ladder",
     "group",
@@ -31,7 +31,7 @@
     "school",
 ];
 
-/// Words of a document that directors agree on.
+/// Builtins of a document that directors agree on.
 pub const AGREED_BUILTINS: &[&str] = &[
     "ladder",
     "group",
@@ -46,10 +46,10 @@
     "keeper",
 ];
 
-/// Words of a director's own settings, where the rest is agreed.
+/// Builtins of a director's local settings, where the rest is agreed.
 pub const LOCAL_BUILTINS: &[&str] = &["director", "roster", "players", "node_links", "agreement", "voter"];
 
-/// Both kinds of a director's settings.
+/// Builtins of a director's settings, whether local or complete.
 pub const LOCAL_OR_COMPLETE_BUILTINS: &[&str] = &[
     "ladder",
     "group",
@@ -66,13 +66,13 @@
     "voter",
 ];
 
-/// Words of a keeper's settings.
+/// Builtins of a keeper's settings.
 pub const KEEPER_BUILTINS: &[&str] = &["keeper", "school", "voter", "agreement"];
 
-/// Words of a target: a fleet as it is to be.
+/// Builtins of a target: the planned size of a fleet.
 pub const TARGET_BUILTINS: &[&str] = &["target", "budget", "faults", "assume"];
 
-/// Words of a trouble script.
+/// Builtins of a trouble script.
 pub const TROUBLE_BUILTINS: &[&str] = &[
     "day",
     "crash",
