--- a/crates/kelpdoor-seats/src/lib.rs
+++ b/crates/kelpdoor-seats/src/lib.rs
@@ -1,9 +1,10 @@
-//! Seats that schools have bought, each counted once and freed once, whatever is lost, late, doubled or restarted.
+//! Accounting of the seats that schools have bought. Each seat is counted once and freed once even if messages are
+//! lost, delayed or duplicated, or processes restart.
 //!
-//! Two state machines without I/O, times passed in (seconds):
-//! [`Ledger`], the keeper's, knows who holds each seat; [`Holder`], a director's, asks for seats, waits no longer
-//! than told, and goes on with what it was lent when the keeper is slow or gone. `docs/seats.md` has the table of
-//! what each word does in each state.
+//! The crate has two state machines without I/O; the caller passes times in, in seconds. [`Ledger`], the keeper's,
+//! knows who holds each seat. [`Holder`], a director's, requests seats within a time limit and uses seats leased in
+//! advance when the keeper is slow or unavailable. `docs/seats.md` has the table of what each message does in each
+//! state.
 
 mod holder;
 mod ledger;
@@ -25,117 +26,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DirectorId(pub u32);
 
-/// One start of a director, given out by the keeper; words of an earlier one are fenced off.
+/// Number that the keeper assigns to one start of a director; messages of its earlier epochs are rejected (fenced).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
-/// From a director to the keeper. `n` numbers a director's words within its epoch, and answers name it.
+/// Message from a director to the keeper. `n` numbers a director's messages within its epoch; a response repeats it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeeperRequest {
-    /// A director started and has no epoch yet; `nonce` tells one start from another.
-    Hello {
-        director: DirectorId,
-        nonce: u64,
-    },
-    /// It lives: what it holds is held on.
-    Beat {
-        director: DirectorId,
-        epoch: Epoch,
-        n: u64,
-    },
-    /// A seat for that token, until it expires. Also renews one that is held.
-    Claim {
-        director: DirectorId,
-        epoch: Epoch,
-        school: School,
-        token: TokenId,
-        expires: f64,
-        n: u64,
-    },
-    /// As a claim, for a seat already given out of what was lent: it takes the place of one lent.
-    Spent {
-        director: DirectorId,
-        epoch: Epoch,
-        school: School,
-        token: TokenId,
-        expires: f64,
-        n: u64,
-    },
-    Release {
-        director: DirectorId,
-        epoch: Epoch,
-        school: School,
-        token: TokenId,
-        n: u64,
-    },
-    /// Lend up to that many seats altogether for later claims; fewer gives the rest back.
-    Lend {
-        director: DirectorId,
-        epoch: Epoch,
-        school: School,
-        want: u32,
-        n: u64,
-    },
+    /// A director started and requests an epoch; `nonce` distinguishes its starts.
+    Hello { director: DirectorId, nonce: u64 },
+    /// Heartbeat; extends the director's lease.
+    Beat { director: DirectorId, epoch: Epoch, n: u64 },
+    /// Claims a seat for a token until it expires, or renews the one it holds.
+    Claim { director: DirectorId, epoch: Epoch, school: School, token: TokenId, expires: f64, n: u64 },
+    /// Claims a seat that the director already took from its advance lease, which then has one seat less.
+    Spent { director: DirectorId, epoch: Epoch, school: School, token: TokenId, expires: f64, n: u64 },
+    /// Gives a token's seat back.
+    Release { director: DirectorId, epoch: Epoch, school: School, token: TokenId, n: u64 },
+    /// Requests an advance lease of `want` seats altogether; fewer than leased gives the rest back.
+    Lend { director: DirectorId, epoch: Epoch, school: School, want: u32, n: u64 },
 }
 
-/// From the keeper to a director.
+/// Message from the keeper to a director.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeeperResponse {
-    Welcome {
-        nonce: u64,
-        epoch: Epoch,
-    },
-    /// The beat of that number was heard.
-    Alive {
-        epoch: Epoch,
-        n: u64,
-    },
-    /// The director's epoch is over; it says hello again.
-    Fenced {
-        epoch: Epoch,
-    },
-    Granted {
-        epoch: Epoch,
-        school: School,
-        token: TokenId,
-        n: u64,
-    },
-    /// That release is done, or there was nothing to release.
-    Freed {
-        epoch: Epoch,
-        school: School,
-        token: TokenId,
-        n: u64,
-    },
-    /// All seats are taken; one may be free after `come_back` seconds.
-    Full {
-        epoch: Epoch,
-        school: School,
-        token: TokenId,
-        n: u64,
-        come_back: f64,
-    },
+    /// Response to a hello: the epoch of that start.
+    Welcome { nonce: u64, epoch: Epoch },
+    /// Response to a heartbeat.
+    Alive { epoch: Epoch, n: u64 },
+    /// The director's epoch has ended; it has to send a hello again.
+    Fenced { epoch: Epoch },
+    /// The token holds its seat.
+    Granted { epoch: Epoch, school: School, token: TokenId, n: u64 },
+    /// The seat was released, or there was none to release.
+    Freed { epoch: Epoch, school: School, token: TokenId, n: u64 },
+    /// All seats are taken; one may become free after `come_back` seconds.
+    Full { epoch: Epoch, school: School, token: TokenId, n: u64, come_back: f64 },
     /// The token has expired.
-    Expired {
-        epoch: Epoch,
-        school: School,
-        token: TokenId,
-        n: u64,
-    },
-    /// The token's seat, held since that word, went to another director, where its viewer came again. Said again at
-    /// each beat until the director releases it.
-    Moved {
-        epoch: Epoch,
-        school: School,
-        token: TokenId,
-        n: u64,
-    },
-    /// So many are lent now, until then.
-    Lent {
-        epoch: Epoch,
-        school: School,
-        count: u32,
-        until: f64,
-        n: u64,
-    },
+    Expired { epoch: Epoch, school: School, token: TokenId, n: u64 },
+    /// The seat that the token held by claim `n` went to another director, where its viewer reconnected. Repeated with
+    /// each heartbeat until the director releases it.
+    Moved { epoch: Epoch, school: School, token: TokenId, n: u64 },
+    /// The director's advance lease now has `count` unused seats and ends at `until`.
+    Lent { epoch: Epoch, school: School, count: u32, until: f64, n: u64 },
 }
