--- a/crates/kelpdoor-tokens/src/issue.rs
+++ b/crates/kelpdoor-tokens/src/issue.rs
@@ -1,4 +1,4 @@
-//! Signing, for tests and for trying a deployment out; a school's issuer does it elsewhere.
+//! Signing of tokens, for tests and trial deployments; in production the schools' issuers sign them.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -9,7 +9,7 @@
 
 use crate::Claims;
 
-/// A key pair with its id.
+/// Signs tokens with an Ed25519 key pair.
 pub struct Issuer {
     kid: String,
     pkcs8: Vec<u8>,
@@ -17,25 +17,26 @@
 }
 
 impl Issuer {
-    /// A new key pair from the system's randomness.
+    /// Generates a key pair from the system's random number generator.
     ///
     /// # Errors
-    /// Where the system gives none.
+    /// If the generator fails.
     pub fn new(kid: &str) -> Result<Self, String> {
         let pkcs8 = Ed25519KeyPair::generate_pkcs8(&SystemRandom::new()).map_err(|e| e.to_string())?;
         Issuer::from_pkcs8(kid, pkcs8.as_ref())
     }
 
-    /// One kept as PKCS #8 (RFC 8410).
+    /// Loads a key pair from its PKCS #8 form (RFC 8410).
     ///
     /// # Errors
-    /// Where that is no Ed25519 key.
+    /// If it is not an Ed25519 key pair.
     pub fn from_pkcs8(kid: &str, pkcs8: &[u8]) -> Result<Self, String> {
         let pair = Ed25519KeyPair::from_pkcs8(pkcs8).map_err(|e| e.to_string())?;
         let public = URL_SAFE_NO_PAD.encode(pair.public_key().as_ref());
         Ok(Issuer { kid: kid.to_owned(), pkcs8: pkcs8.to_vec(), public })
     }
 
+    /// The key pair in PKCS #8 form.
     pub fn pkcs8(&self) -> &[u8] {
         &self.pkcs8
     }
@@ -48,14 +49,14 @@
     /// Signs a token.
     ///
     /// # Errors
-    /// What the library says.
+    /// If the library cannot encode the claims.
     pub fn sign(&self, claims: &Claims) -> Result<String, String> {
-        let head = Header { kid: Some(self.kid.clone()), ..Header::new(Algorithm::EdDSA) };
-        encode(&head, claims, &EncodingKey::from_ed_der(&self.pkcs8)).map_err(|e| e.to_string())
+        let header = Header { kid: Some(self.kid.clone()), ..Header::new(Algorithm::EdDSA) };
+        encode(&header, claims, &EncodingKey::from_ed_der(&self.pkcs8)).map_err(|e| e.to_string())
     }
 }
 
-/// A JWK set of these keys.
+/// The JWK set of the issuers' public keys.
 pub fn key_set<'a>(issuers: impl IntoIterator<Item = &'a Issuer>) -> String {
     json!({ "keys": issuers.into_iter().map(Issuer::jwk).collect::<Vec<_>>() }).to_string()
 }
--- a/crates/kelpdoor-tokens/src/lib.rs
+++ b/crates/kelpdoor-tokens/src/lib.rs
@@ -1,8 +1,9 @@
-//! Entitlement tokens: JWT (RFC 7519) signed with EdDSA over Ed25519 (RFC 8037), verified against a key set (JWKS,
-//! RFC 7517) that may be replaced at any time. No I/O, times passed in, seconds since 1970.
+//! Entitlement tokens: JWTs (RFC 7519) signed with EdDSA over Ed25519 (RFC 8037) and verified against a JWK set
+//! (RFC 7517) that may be replaced at any time. The crate does no I/O; the caller passes the time in, in seconds
+//! since 1970.
 //!
-//! Times are checked here and not by the JWT library: it passes over claims of a wrong type, and ours have to be
-//! there and be numbers.
+//! The crate checks times itself, since the JWT library ignores time claims of a wrong type. Here they have to be
+//! present and be numbers.
 
 mod issue;
 mod keys;
@@ -17,12 +18,12 @@
 use kelpdoor_seats::{School, TokenId};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a token at most; one with long names has some 500.
+/// Maximum size of a token in bytes; one with long names has about 500.
 pub const MAX_TOKEN_BYTES: usize = 2048;
-/// Bytes of a name within it at most.
-const MAX_NAME: usize = 128;
+/// Maximum size of a name in a token, in bytes.
+const MAX_NAME_BYTES: usize = 128;
 
-/// Who a token is meant for, one or several (RFC 7519, 4.1.3).
+/// The services that a token is meant for, one or several (RFC 7519, 4.1.3).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Audience {
@@ -31,26 +32,26 @@
 }
 
 impl Audience {
-    fn holds(&self, name: &str) -> bool {
+    fn contains_name(&self, name: &str) -> bool {
         match self {
-            Audience::One(a) => a == name,
-            Audience::Any(all) => all.iter().any(|a| a == name),
+            Audience::One(audience) => audience == name,
+            Audience::Any(audiences) => audiences.iter().any(|audience| audience == name),
         }
     }
 }
 
-/// The claims of a token. Times as NumericDate (RFC 7519, 2).
+/// The claims of a token. Times are NumericDate values (RFC 7519, 2).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claims {
     pub aud: Audience,
     pub school: String,
-    /// The one group that it is good for; absent: any.
+    /// The only service group that the token is valid for; any group if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub group: Option<String>,
-    /// The kind of seat, where a school has several pools.
+    /// The class of seat if a school has several pools.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seat_class: Option<String>,
-    /// With the school it names a seat. A renewal carries the same one and a later expiry.
+    /// Identifies a seat together with the school. A renewal has the same value and a later expiry.
     pub jti: String,
     pub iat: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -58,60 +59,62 @@
     pub exp: f64,
 }
 
-/// What a token that was verified allows.
+/// What a verified token allows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entitlement {
-    /// The pool of seats: the school, with the class of seat behind a colon where one is named.
+    /// The pool of seats, as [`seat_pool`] names it.
     pub school: School,
     pub token: TokenId,
     pub group: Option<String>,
+    /// Seconds since 1970.
     pub expires: f64,
 }
 
-/// The name of the pool of a school's seats.
+/// The name of a pool of seats: the school, followed by a colon and the class of seat if there is one.
 pub fn seat_pool(school: &str, class: Option<&str>) -> School {
     School(class.map_or_else(|| school.to_owned(), |class| format!("{school}:{class}")))
 }
 
-/// Why a token is refused, as the player hears it.
+/// Why a token is refused. Players receive the message.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum TokenError {
-    #[error("the token has {0} bytes, {MAX_TOKEN_BYTES} at most")]
+    #[error("the token has {0} bytes, at most {MAX_TOKEN_BYTES} are allowed")]
     TooLong(usize),
     #[error("the token cannot be read ({0}): ask for a new one")]
     Garbled(&'static str),
-    #[error("the token is signed by {0:?}, EdDSA is asked for: its issuer is set up wrongly")]
+    #[error("the token is signed by {0:?}, EdDSA is required: its issuer is misconfigured")]
     Algorithm(String),
     #[error("the token's key {0:?} is not known: ask for a new one")]
     UnknownKey(String),
-    #[error("the token's signature is not its key's: ask for a new one")]
+    #[error("the token's signature does not match its key: ask for a new one")]
     Signature,
-    #[error("the token is meant for another service: ask its issuer for one for this")]
+    #[error("the token is meant for another service: ask its issuer for one for this service")]
     Audience,
-    #[error("the token is good in {0:.0} s only: try then")]
+    #[error("the token is not valid for another {0:.0} s: try again then")]
     NotYet(f64),
-    #[error("the token was issued {0:.0} s from now: its issuer's clock is wrong")]
+    #[error("the token was issued {0:.0} s in the future: its issuer's clock is wrong")]
     IssuedAhead(f64),
     #[error("the token expired {0:.0} s ago: ask for a new one")]
     Expired(f64),
-    #[error("the token is good for {0:.0} s, longer than is taken here: ask for a shorter one")]
+    #[error("the token is valid for {0:.0} s, longer than is accepted here: ask for a shorter one")]
     TooLasting(f64),
-    #[error("the token's {0} is empty, too long, or holds a colon or control character")]
+    #[error("the token's {0} is empty, too long, or contains a colon or control character")]
     Name(&'static str),
 }
 
-/// What tokens have to keep to.
+/// Requirements on tokens.
 #[derive(Clone, Debug)]
 pub struct TokenRules {
     pub audience: String,
-    /// s; clocks of issuers may differ from ours by so much.
+    /// Largest accepted difference from the issuers' clocks, in seconds.
     pub clock_error: f64,
-    /// s; from issue to expiry at most.
+    /// Longest accepted time from issue to expiry, in seconds.
     pub max_lifetime: f64,
 }
 
+/// The JOSE header of a token.
 #[derive(Deserialize)]
-struct Head {
+struct JoseHeader {
     alg: String,
     #[serde(default)]
     kid: Option<String>,
@@ -119,59 +122,60 @@
     crit: Option<serde_json::Value>,
 }
 
-fn head(token: &str) -> Result<Head, TokenError> {
+fn parse_header(token: &str) -> Result<JoseHeader, TokenError> {
     let mut parts = token.split('.');
     let (Some(first), Some(_), Some(_), None) = (parts.next(), parts.next(), parts.next(), parts.next())
     else {
         return Err(TokenError::Garbled("not three parts"));
     };
     let bytes =
-        URL_SAFE_NO_PAD.decode(first).map_err(|_| TokenError::Garbled("its header is no base64url"))?;
-    serde_json::from_slice(&bytes).map_err(|_| TokenError::Garbled("its header is no JOSE header"))
+        URL_SAFE_NO_PAD.decode(first).map_err(|_| TokenError::Garbled("its header is not base64url"))?;
+    serde_json::from_slice(&bytes).map_err(|_| TokenError::Garbled("its header is not a JOSE header"))
 }
 
-fn name(field: &'static str, text: &str) -> Result<(), TokenError> {
-    let good =
-        !text.is_empty() && text.len() <= MAX_NAME && !text.contains(|c: char| c == ':' || c.is_control());
-    if good { Ok(()) } else { Err(TokenError::Name(field)) }
+fn check_name(field: &'static str, text: &str) -> Result<(), TokenError> {
+    let valid = !text.is_empty()
+        && text.len() <= MAX_NAME_BYTES
+        && !text.contains(|c: char| c == ':' || c.is_control());
+    if valid { Ok(()) } else { Err(TokenError::Name(field)) }
 }
 
-/// Verifies a token: its form and names, its signature, then its times and audience.
+/// Verifies a token at the time `now`: its form, its signature, then its names, audience and times.
 ///
 /// # Errors
-/// The first thing found wrong.
+/// The first violation found.
 pub fn verify(token: &str, keys: &KeySet, rules: &TokenRules, now: f64) -> Result<Entitlement, TokenError> {
     if token.len() > MAX_TOKEN_BYTES {
         return Err(TokenError::TooLong(token.len()));
     }
-    let head = head(token)?;
-    if head.alg != "EdDSA" {
-        return Err(TokenError::Algorithm(head.alg.chars().take(16).collect()));
+    let header = parse_header(token)?;
+    if header.alg != "EdDSA" {
+        return Err(TokenError::Algorithm(header.alg.chars().take(16).collect()));
     }
-    if head.crit.is_some() {
+    if header.crit.is_some() {
         return Err(TokenError::Garbled("its header asks for extensions"));
     }
-    let kid = head.kid.unwrap_or_default();
+    let kid = header.kid.unwrap_or_default();
     let Some(key) = keys.get(&kid) else {
         return Err(TokenError::UnknownKey(kid.chars().take(64).collect()));
     };
-    let mut form = Validation::new(Algorithm::EdDSA);
-    form.required_spec_claims.clear();
-    (form.validate_exp, form.validate_nbf, form.validate_aud) = (false, false, false);
-    let claims = decode::<Claims>(token, key, &form).map_err(|e| match e.kind() {
+    let mut validation = Validation::new(Algorithm::EdDSA);
+    validation.required_spec_claims.clear();
+    (validation.validate_exp, validation.validate_nbf, validation.validate_aud) = (false, false, false);
+    let claims = decode::<Claims>(token, key, &validation).map_err(|e| match e.kind() {
         ErrorKind::InvalidSignature => TokenError::Signature,
         ErrorKind::Json(_) => TokenError::Garbled("a claim is missing or of a wrong type"),
-        _ => TokenError::Garbled("its parts are no base64url"),
+        _ => TokenError::Garbled("its parts are not base64url"),
     })?;
-    check(claims.claims, rules, now)
+    check_claims(claims.claims, rules, now)
 }
 
-fn check(c: Claims, rules: &TokenRules, now: f64) -> Result<Entitlement, TokenError> {
-    name("school", &c.school)?;
-    name("jti", &c.jti)?;
-    c.seat_class.as_deref().map_or(Ok(()), |class| name("seat_class", class))?;
-    c.group.as_deref().map_or(Ok(()), |group| name("group", group))?;
-    if !c.aud.holds(&rules.audience) {
+fn check_claims(c: Claims, rules: &TokenRules, now: f64) -> Result<Entitlement, TokenError> {
+    check_name("school", &c.school)?;
+    check_name("jti", &c.jti)?;
+    c.seat_class.as_deref().map_or(Ok(()), |class| check_name("seat_class", class))?;
+    c.group.as_deref().map_or(Ok(()), |group| check_name("group", group))?;
+    if !c.aud.contains_name(&rules.audience) {
         return Err(TokenError::Audience);
     }
     if c.iat > now + rules.clock_error {
@@ -180,11 +184,11 @@
     if let Some(nbf) = c.nbf.filter(|nbf| *nbf > now + rules.clock_error) {
         return Err(TokenError::NotYet(nbf - now));
     }
-    // No grace here: the seat is counted to the expiry, and the keeper allows for clocks.
+    // No tolerance here: the seat is held until the expiry, and the keeper allows for clock errors.
     if c.exp <= now {
         return Err(TokenError::Expired(now - c.exp));
     }
-    // From its issue, so that one long signed ahead is no way round it; it also bounds what `exp` may be.
+    // Counted from the issue time, so that a token issued long in advance cannot exceed it; this also bounds `exp`.
     if c.exp - c.iat > rules.max_lifetime {
         return Err(TokenError::TooLasting(c.exp - c.iat));
     }
