--- a/crates/kelpdoor-clock/src/lib.rs
+++ b/crates/kelpdoor-clock/src/lib.rs
@@ -1,107 +1,112 @@
-//! The decisions' clock: wall time at the start, monotonic from there, slewed gently towards wall time, so that
-//! directors' slots for cold nodes stay in common. A step of the wall clock, a suspended process and a slow round
-//! are told apart: the first shows in wall time alone, the others in both.
+//! Clocks. [`SlewedClock`] gives the time of the decisions: it starts at wall time, is monotonic, and is slewed towards
+//! wall time so that all directors agree on the time slots for cold nodes. It distinguishes a step of the wall clock
+//! from a suspended process or a slow round: a step shows in wall time only, the others in both clocks.
+//! [`BootClock`] is for leases.
 
 use std::path::PathBuf;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Of elapsed time; the fastest that the clock runs off its rate. 1 s of error goes within some 200 s.
-const SLEW: f64 = 0.005;
-/// s; wall time further off than this was stepped, which is reported.
-const STEP: f64 = 1.0;
-/// s; a file that steps the wall clock in trials is read so often.
-const REREAD: f64 = 0.2;
+/// Maximum slew as a fraction of elapsed time; an error of 1 s is corrected within about 200 s.
+const MAX_SLEW_RATE: f64 = 0.005;
+/// Change of the offset to wall time, in seconds, above which a step of the wall clock is reported.
+const STEP_THRESHOLD: f64 = 1.0;
+/// Seconds between reads of the offset file.
+const OFFSET_READ_INTERVAL: f64 = 0.2;
 
-/// The arithmetic alone, with both times passed in.
+/// The arithmetic of [`SlewedClock`] without access to the system's clocks. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct SlewedTime {
-    mono: f64,
+    monotonic: f64,
     now: f64,
+    /// Wall time minus `now` at the last call.
     offset: f64,
 }
 
 impl SlewedTime {
-    /// `mono` and `wall` are seconds read at the same moment.
-    pub fn new(mono: f64, wall: f64) -> Self {
-        SlewedTime { mono, now: wall, offset: 0.0 }
+    /// Both times have to be read at the same moment.
+    pub fn new(monotonic: f64, wall: f64) -> Self {
+        SlewedTime { monotonic, now: wall, offset: 0.0 }
     }
 
-    /// The time now, never less than before, and by how much wall time was stepped since the last call.
-    pub fn now(&mut self, mono: f64, wall: f64) -> (f64, Option<f64>) {
-        let gone = (mono - self.mono).max(0.0);
-        let free = self.now + gone;
-        let off = wall - free;
-        let step = (off - self.offset).abs() > STEP;
-        let stepped = step.then_some(off - self.offset);
-        self.mono = self.mono.max(mono);
-        self.now = free + off.clamp(-SLEW * gone, SLEW * gone);
+    /// The current time, which never decreases, and the size of a step of wall time since the last call, if any.
+    pub fn now(&mut self, monotonic: f64, wall: f64) -> (f64, Option<f64>) {
+        let elapsed = (monotonic - self.monotonic).max(0.0);
+        let unslewed = self.now + elapsed;
+        let offset = wall - unslewed;
+        let is_step = (offset - self.offset).abs() > STEP_THRESHOLD;
+        let step = is_step.then_some(offset - self.offset);
+        self.monotonic = self.monotonic.max(monotonic);
+        self.now = unslewed + offset.clamp(-MAX_SLEW_RATE * elapsed, MAX_SLEW_RATE * elapsed);
         self.offset = wall - self.now;
-        (self.now, stepped)
+        (self.now, step)
     }
 }
 
-/// Reads the machine's clocks.
+/// A monotonic clock in seconds since 1970 that is slewed towards the system's wall time.
 pub struct SlewedClock {
-    from: Instant,
-    slew: SlewedTime,
-    /// Of trials: the file, when it is read again, and what it said.
-    off: Option<(PathBuf, f64, f64)>,
+    started: Instant,
+    time: SlewedTime,
+    /// In trials: the offset file, when it is read next, and its last value in seconds.
+    offset_file: Option<(PathBuf, f64, f64)>,
 }
 
-fn wall() -> f64 {
+fn wall_time() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64())
 }
 
 impl Default for SlewedClock {
     fn default() -> Self {
-        SlewedClock { from: Instant::now(), slew: SlewedTime::new(0.0, wall()), off: None }
+        SlewedClock { started: Instant::now(), time: SlewedTime::new(0.0, wall_time()), offset_file: None }
     }
 }
 
 impl SlewedClock {
-    /// For trials: takes the wall clock to be off by as many seconds as that file says, from now on; 0 where it says none.
+    /// For trials: adds the number of seconds in that file to wall time; 0 if the file has no finite number.
     pub fn with_offset_file(file: PathBuf) -> Self {
-        SlewedClock { off: Some((file, 0.0, 0.0)), ..SlewedClock::default() }
+        SlewedClock { offset_file: Some((file, 0.0, 0.0)), ..SlewedClock::default() }
     }
 
+    /// The current time, which never decreases, and the size of a step of wall time since the last call, if any.
     pub fn now(&mut self) -> (f64, Option<f64>) {
-        let mono = self.from.elapsed().as_secs_f64();
-        let off = match &mut self.off {
+        let monotonic = self.started.elapsed().as_secs_f64();
+        let offset = match &mut self.offset_file {
             None => 0.0,
-            Some((file, again, off)) => {
-                if mono >= *again {
-                    *again = mono + REREAD;
-                    let said = std::fs::read_to_string(file).ok().and_then(|s| s.trim().parse::<f64>().ok());
-                    *off = said.filter(|s| s.is_finite()).unwrap_or(0.0);
+            Some((file, next_read_at, offset)) => {
+                if monotonic >= *next_read_at {
+                    *next_read_at = monotonic + OFFSET_READ_INTERVAL;
+                    let value = std::fs::read_to_string(file).ok().and_then(|s| s.trim().parse::<f64>().ok());
+                    *offset = value.filter(|s| s.is_finite()).unwrap_or(0.0);
                 }
-                *off
+                *offset
             }
         };
-        self.slew.now(mono, wall() + off)
+        self.time.now(monotonic, wall_time() + offset)
     }
 }
 
-/// Seconds on a clock that nobody sets and that goes on while a process stands still or its machine is suspended: what
-/// leases are counted by.
+/// The time since boot, by which leases are counted. It is never set, and it advances while the process is stopped or
+/// the machine is suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
     rate: f64,
 }
 
 impl BootClock {
-    /// `rate`: 1, or for trials how fast it is taken to run.
+    /// `rate` multiplies the time: 1, or another value in trials with clock drift.
     pub fn new(rate: f64) -> Self {
         BootClock { rate }
     }
 
+    /// Seconds since boot, times the rate.
     pub fn now(&self) -> f64 {
-        // It is there on any Linux; without it a time that never moves on would grant leases for ever.
-        let read =
+        // Every Linux has one of these clocks. Without one this panics, as a time that stands still would make leases
+        // last forever.
+        let reading =
             clock_gettime(ClockId::CLOCK_BOOTTIME).or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
-        let t = read.expect("a steady clock");
-        (t.tv_sec() as f64 + t.tv_nsec() as f64 / 1e9) * self.rate
+        let time = reading.expect("a boot-time or monotonic clock");
+        (time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9) * self.rate
     }
 }
 
--- a/crates/kelpdoor-kept/src/lib.rs
+++ b/crates/kelpdoor-kept/src/lib.rs
@@ -1,5 +1,5 @@
-//! A value on disk: one line of a header with a format and a checksum, then JSON. Written to a file beside it, synced and
-//! renamed, so that it is there whole or not at all.
+//! Stores a value in a file: a header line with the format's name and a CRC-32 checksum, then the value as JSON. The
+//! file is replaced atomically: the value is written to a temporary file, synced and renamed.
 
 use std::fs::File;
 use std::io::Write;
@@ -8,53 +8,54 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
+/// Why a value cannot be saved or loaded. Each variant has the file's path.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
     #[error("{0}: the header is not \"{1} CHECKSUM\"")]
     Header(PathBuf, &'static str),
-    #[error("{0}: the checksum says {1:08x}, the content {2:08x}")]
+    #[error("{0}: the checksum says {1:08x}, but the content has {2:08x}")]
     Checksum(PathBuf, u32, u32),
     #[error("{0}: {1}")]
     Content(PathBuf, serde_json::Error),
 }
 
-/// Writes a value whole or not at all; on disk, and under its name, when this returns.
+/// Replaces the file at `path` by the value atomically. The value is durable when this returns.
 ///
 /// # Errors
-/// Where the folder cannot be written; the old file stands then, unless its folder's sync alone failed.
+/// If the file cannot be written. The old file stays then, unless only the sync of the directory failed.
 pub fn save<T: Serialize>(path: &Path, format: &str, value: &T) -> Result<(), StoreError> {
-    let io = |e| StoreError::Io(path.to_owned(), e);
+    let io_error = |e| StoreError::Io(path.to_owned(), e);
     let body = serde_json::to_vec(value).map_err(|e| StoreError::Content(path.to_owned(), e))?;
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    let mut file = tempfile::NamedTempFile::new_in(folder).map_err(io)?;
-    writeln!(file, "{format} {:08x}", crc32fast::hash(&body)).map_err(io)?;
-    file.write_all(&body).map_err(io)?;
-    file.as_file().sync_all().map_err(io)?;
-    file.persist(path).map_err(|e| io(e.error))?;
-    File::open(folder).and_then(|f| f.sync_all()).map_err(io)
+    let directory = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let mut file = tempfile::NamedTempFile::new_in(directory).map_err(io_error)?;
+    writeln!(file, "{format} {:08x}", crc32fast::hash(&body)).map_err(io_error)?;
+    file.write_all(&body).map_err(io_error)?;
+    file.as_file().sync_all().map_err(io_error)?;
+    file.persist(path).map_err(|e| io_error(e.error))?;
+    File::open(directory).and_then(|f| f.sync_all()).map_err(io_error)
 }
 
-/// Reads a value back; `None` where there is no file.
+/// Loads the value of a file; `None` if the file does not exist.
 ///
 /// # Errors
-/// A file that is not as it was written is named and never loaded.
+/// If the file cannot be read, or its header, checksum or content is wrong.
 pub fn load<T: DeserializeOwned>(path: &Path, format: &'static str) -> Result<Option<T>, StoreError> {
     let bytes = match std::fs::read(path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
         other => other.map_err(|e| StoreError::Io(path.to_owned(), e))?,
     };
-    let header = || StoreError::Header(path.to_owned(), format);
-    let end = bytes.iter().position(|&b| b == b'\n').ok_or_else(header)?;
-    let first = std::str::from_utf8(&bytes[..end]).map_err(|_| header())?;
-    let digits = first.strip_prefix(format).and_then(|s| s.strip_prefix(' ')).ok_or_else(header)?;
-    let whole = digits.len() == 8 && digits.bytes().all(|b| b.is_ascii_hexdigit());
-    let sum = whole.then(|| u32::from_str_radix(digits, 16).ok()).flatten().ok_or_else(header)?;
-    let body = &bytes[end + 1..];
-    let found = crc32fast::hash(body);
-    if found != sum {
-        return Err(StoreError::Checksum(path.to_owned(), sum, found));
+    let header_error = || StoreError::Header(path.to_owned(), format);
+    let header_end = bytes.iter().position(|&b| b == b'\n').ok_or_else(header_error)?;
+    let header = std::str::from_utf8(&bytes[..header_end]).map_err(|_| header_error())?;
+    let digits = header.strip_prefix(format).and_then(|s| s.strip_prefix(' ')).ok_or_else(header_error)?;
+    let valid = digits.len() == 8 && digits.bytes().all(|b| b.is_ascii_hexdigit());
+    let expected = valid.then(|| u32::from_str_radix(digits, 16).ok()).flatten().ok_or_else(header_error)?;
+    let body = &bytes[header_end + 1..];
+    let actual = crc32fast::hash(body);
+    if actual != expected {
+        return Err(StoreError::Checksum(path.to_owned(), expected, actual));
     }
     serde_json::from_slice(body).map(Some).map_err(|e| StoreError::Content(path.to_owned(), e))
 }
--- a/crates/kelpdoor-kept/src/tests.rs
+++ b/crates/kelpdoor-kept/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn any_flipped_or_missing_byte_is_found() {
+fn flipped_or_missing_byte_is_detected() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("value");
     let load = || load::<Vec<u32>>(&path, "kelpdoor-test 1");
@@ -9,13 +9,13 @@
     let value = vec![7, 8, 9];
     save(&path, "kelpdoor-test 1", &value).unwrap();
     assert_eq!(load().unwrap(), Some(value));
-    let good = std::fs::read(&path).unwrap();
-    for at in 0..good.len() {
-        let mut bad = good.clone();
-        bad[at] ^= 0x10;
-        std::fs::write(&path, &bad).unwrap();
+    let intact = std::fs::read(&path).unwrap();
+    for at in 0..intact.len() {
+        let mut damaged = intact.clone();
+        damaged[at] ^= 0x10;
+        std::fs::write(&path, &damaged).unwrap();
         assert!(load().is_err(), "byte {at} flipped");
-        std::fs::write(&path, &good[..at]).unwrap();
-        assert!(load().is_err(), "cut at {at}");
+        std::fs::write(&path, &intact[..at]).unwrap();
+        assert!(load().is_err(), "truncated at {at}");
     }
 }
