--- a/crates/kelpdoor-seats/src/holder.rs
+++ b/crates/kelpdoor-seats/src/holder.rs
@@ -69,22 +69,14 @@
 /// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
+    /// Send this message to the keeper.
     Send(KeeperRequest),
-    Granted {
-        school: School,
-        token: TokenId,
-    },
-    Refused {
-        school: School,
-        token: TokenId,
-        why: RefusalReason,
-    },
+    /// The token holds its seat; also given to each repeated request.
+    Granted { school: School, token: TokenId },
+    /// The request gets no seat.
+    Refused { school: School, token: TokenId, why: RefusalReason },
     /// A granted seat has ended.
-    Ended {
-        school: School,
-        token: TokenId,
-        why: EndReason,
-    },
+    Ended { school: School, token: TokenId, why: EndReason },
 }
 
 /// An unanswered message, and when it is resent.
@@ -122,7 +114,7 @@
     leased: u32,
     leased_until: f64,
     pending_lease: Option<PendingMessage>,
-    /// When an advance lease was last answered, or the wait for its answer given up.
+    /// When a lease request was last answered, or its answer became useless because a leased seat was used meanwhile.
     lease_answered_at: f64,
     /// When a seat was last requested.
     last_request_at: f64,
@@ -174,18 +166,18 @@
 
     /// Whether this director holds the token's seat.
     pub fn holds(&self, school: &School, token: &TokenId) -> bool {
-        self.schools.get(school).is_some_and(|m| m.held.contains_key(token))
+        self.schools.get(school).is_some_and(|s| s.held.contains_key(token))
     }
 
     /// Number of seats held by requests or sessions of this director.
     pub fn held(&self) -> usize {
-        self.schools.values().map(|m| m.held.len()).sum()
+        self.schools.values().map(|s| s.held.len()).sum()
     }
 
     /// Seats of a school leased in advance that may still be used.
     pub fn leased(&self, now: f64, school: &School) -> u32 {
         let valid = self.epoch.is_some() && now < self.lease_until;
-        self.schools.get(school).filter(|m| valid && now < m.leased_until).map_or(0, |m| m.leased)
+        self.schools.get(school).filter(|s| valid && now < s.leased_until).map_or(0, |s| s.leased)
     }
 
     /// A random factor from 0.5 to 1.5.
@@ -252,7 +244,7 @@
         out
     }
 
-    /// The claim of a seat, or `None` while the director has no lease.
+    /// The claim of a seat, as `Spent` if it comes from an advance lease; `None` while the director has no lease.
     fn claim_message(
         &self, school: &School, token: &TokenId, expires: f64, n: u64, spent: bool,
     ) -> Option<Output> {
@@ -294,7 +286,7 @@
                     self.pending_heartbeat = None;
                     self.lease_until = self.lease_until.max(sent + self.terms.duration);
                     if !std::mem::replace(&mut self.lease_started, true) {
-                        let claims = self.schools.values_mut().flat_map(|m| m.waiting.values_mut());
+                        let claims = self.schools.values_mut().flat_map(|s| s.waiting.values_mut());
                         claims.for_each(|w| w.pending.resend_at = now);
                         self.next_timer_at = now;
                     }
@@ -451,7 +443,7 @@
         if self.epoch.is_none() {
             // Without an epoch only the hello is resent.
             let at = self.pending_hello.map_or(f64::NEG_INFINITY, |p| p.resend_at);
-            let claims = self.schools.values().flat_map(|m| m.waiting.values());
+            let claims = self.schools.values().flat_map(|s| s.waiting.values());
             return claims.fold(at, |at, w| at.min(w.deadline));
         }
         let mut at = self.next_heartbeat_at.min(self.epoch_end());
@@ -507,7 +499,7 @@
         out
     }
 
-    /// When the epoch ends unless a heartbeat is answered. Without held seats this is one lease duration later.
+    /// When the epoch ends unless a heartbeat is answered: with its lease, or one lease duration later if no seat is held.
     fn epoch_end(&self) -> f64 {
         self.lease_until + if self.held() == 0 { self.terms.duration } else { 0.0 }
     }
--- a/crates/kelpdoor-seats/src/lib.rs
+++ b/crates/kelpdoor-seats/src/lib.rs
@@ -63,6 +63,7 @@
     /// All seats are taken; one may become free after `come_back` seconds.
     Full { epoch: Epoch, school: School, token: TokenId, n: u64, come_back: f64 },
     /// The token has expired.
+    /// The token has expired.
     Expired { epoch: Epoch, school: School, token: TokenId, n: u64 },
     /// The seat that the token held by claim `n` went to another director, where its viewer reconnected. Repeated with
     /// each heartbeat until the director releases it.
--- a/crates/kelpdoor-seats/tests/table.rs
+++ b/crates/kelpdoor-seats/tests/table.rs
@@ -373,7 +373,7 @@
     // For an older claim than the current one.
     assert_eq!(describe_outputs(&h.handle_response(101.0, &moved(0))), "");
     assert_eq!(describe_outputs(&h.handle_response(101.0, &moved(n))), "ENDED a Moved, release a");
-    // A repeated message is only confirmed restored.
+    // A repeated message is only confirmed again.
     assert_eq!(describe_outputs(&h.handle_response(101.1, &moved(n))), "release a");
 }
 
