--- a/crates/kelpdoor-agreement/src/lib.rs
+++ b/crates/kelpdoor-agreement/src/lib.rs
@@ -1,13 +1,15 @@
-//! Rules on which directors agree: one content for each version, decided by a majority of voters, and the lease under
-//! which a director acts on it. No I/O: calls in, words and one write out, steady time passed in.
+//! Agreement on the rules that directors share: a majority of voters chooses one content for each version, and a director
+//! acts on a version under a lease. Performs no I/O: callers pass in messages and monotonic time, and take out messages and
+//! the state to write to disk.
 //!
-//! - [`Voter`]: for each next version one decree of Paxos (Lamport 2001). The version before has to be chosen and known
-//!   first, so a voter holds a promise and an accepted value for one version alone, and a proposal is a compare-and-set.
-//!   Who decides a version stands in the one before it: voters come and go by a version, and no version has two majorities.
-//! - [`Follower`]: a director's side. It acts on a version as long as a majority of voters, *asked* less than a lease ago,
-//!   had accepted nothing newer (Gray and Cheriton 1989). Voters hold no lease that anybody waits for: who acts on the old
-//!   alone ends a lease after the new one was chosen, by its own clock.
-//! - [`keys`]: what may differ while a change goes round, what is acted on at its stricter side, what waits.
+//! - [`Voter`]: one instance of single-decree Paxos (Lamport 2001) for each next version. The preceding version has to be
+//!   chosen and known first, so a voter holds a promise and an accepted value for one version only, and a proposal is a
+//!   compare-and-set. Each version names the voters that decide the next one, so membership changes by versions and no
+//!   version has two majorities.
+//! - [`Follower`]: the director's side. A director acts on a version while a majority of voters, *asked* less than a lease
+//!   ago, had accepted nothing newer (Gray and Cheriton 1989). Voters hold no lease that anyone waits for: a director that
+//!   acts only on the old version stops within a lease, by its own clock, after the new version was chosen.
+//! - [`keys`]: which keys may differ during a change, which are acted on at their stricter value, and which switch later.
 
 mod delta;
 mod follower;
@@ -23,15 +25,15 @@
 };
 pub use voter::{DurableState, MAX_DIRECTOR_NAMES, Output, Voter};
 
-/// Of time; how far apart two steady clocks may run, the slewing of a director's time included. Clocks of machines keep
-/// to 0.0002 of their rate when undisturbed; fifty times that.
+/// Maximum difference in rate between two monotonic clocks, as a fraction, including the slewing of a director's time.
+/// Undisturbed machine clocks keep to 0.0002 of their rate; this is fifty times that.
 pub const MAX_CLOCK_RATE_ERROR: f64 = 0.01;
 
-/// Of the stated longest contradiction; a lease. The rest is for what was decided in time and has still to reach a
-/// node, and for directors that hear of a change at different times.
+/// Lease duration as a fraction of the stated maximum contradiction time. The rest allows for commands that were decided in
+/// time and have yet to reach a node, and for directors that learn of a change at different times.
 pub const LEASE_FRACTION: f64 = 0.5;
 
-/// A lease on a version that states this longest contradiction, s.
+/// The duration of a lease on a version that states this maximum contradiction time, both in seconds.
 pub fn lease_duration(contradiction: f64) -> f64 {
     contradiction * LEASE_FRACTION
 }
--- a/crates/kelpdoor-agreement/src/messages.rs
+++ b/crates/kelpdoor-agreement/src/messages.rs
@@ -1,49 +1,49 @@
-//! What crosses between voters, and between a voter and directors or operators: a JSON line for each.
+//! Messages between voters, and between a voter and its clients (directors and operators): one JSON object per line.
 
 use ring::digest::{SHA256, digest};
 use serde::{Deserialize, Serialize};
 
 use crate::delta::Delta;
 
-/// Bytes of a document at most.
+/// Maximum size of a document, in bytes.
 pub const MAX_DOCUMENT: usize = 1 << 18;
-/// Bytes of a line at most: a document with every byte escaped, twice, and what stands round it.
+/// Maximum size of a line on the wire, in bytes: a document whose every byte is escaped, twice, and the message around it.
 pub const MAX_LINE: usize = 16 * MAX_DOCUMENT;
 
-/// Versions, and bytes of what they change, that a voter keeps to tell directors of at most: a director under the longest
-/// lease lacks 60 at 5.8 a second; over it one waits a lease. Escaped it still is within a line.
+/// Maximum number of versions in a voter's log of deltas, and in a chain sent to a director. A director under the longest
+/// lease lacks 60 versions at 5.8 changes a second; one that lacks more than the log holds waits for its lease to end.
 pub const MAX_LOG_VERSIONS: usize = 256;
-/// Bytes of the edits that a voter stores in its log at most.
+/// Maximum size of a voter's log of deltas, in bytes. Even fully escaped, such a log fits within [`MAX_LINE`].
 pub const MAX_LOG_BYTES: usize = 2 * MAX_DOCUMENT;
 
-/// A voter's number. No other voter gets it, ever; its address may change.
+/// The number of a voter. It is never reassigned to another voter; the voter's address may change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterId(pub u8);
 
-/// How a document is read, as far as voters and leases go.
+/// Functions that extract from a document what the protocol itself needs.
 #[derive(Clone, Copy, Debug)]
 pub struct DocumentReader {
-    /// s; the lease that it grants.
+    /// Duration of the lease that the document grants, in seconds.
     pub lease: fn(&str) -> f64,
-    /// Who decides the version after it.
+    /// The voters that decide the version after this document.
     pub voters: fn(&str) -> Vec<VoterId>,
 }
 
-/// A proposer's try; the default is under every try.
+/// A ballot number: a proposer's attempt. The default is lower than every ballot in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
     pub voter: VoterId,
 }
 
-/// A content, under the number that names its proposal: two proposals of the same text are told apart.
+/// A proposed document. The id identifies the proposal, so that two proposals of the same text differ.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Value {
     pub id: u64,
     pub text: String,
 }
 
-/// A version as it was agreed.
+/// A chosen version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Chosen {
     pub number: u64,
@@ -51,32 +51,36 @@
 }
 
 impl Chosen {
-    /// SHA-256 of the text, the first 16 hexadecimal digits.
+    /// The first 16 hexadecimal digits of the SHA-256 of the text.
     pub fn digest(&self) -> String {
         let sum = digest(&SHA256, self.value.text.as_bytes());
         sum.as_ref()[..8].iter().map(|b| format!("{b:02x}")).collect()
     }
 
-    /// Number and digest, as logs and records name it.
+    /// `number/digest`, as used in logs and records.
     pub fn label(&self) -> String {
         format!("{}/{}", self.number, self.digest())
     }
 }
 
-/// Versions and rounds are counted up to here: more than any fleet comes to, and far from where a sum would not hold.
+/// Maximum version and round number. No fleet reaches it, and sums of such numbers cannot overflow.
 pub const MAX_VERSION: u64 = 1 << 53;
 
 impl VoterMessage {
-    /// Whether its numbers are such as a voter may come to.
-    pub(crate) fn plausible(&self) -> bool {
-        let round = |b: &Ballot| b.round <= MAX_VERSION;
+    /// Whether all version and round numbers are at most [`MAX_VERSION`].
+    pub(crate) fn has_valid_numbers(&self) -> bool {
+        let valid_round = |b: &Ballot| b.round <= MAX_VERSION;
         match self {
             VoterMessage::Prepare { number, ballot }
             | VoterMessage::Accept { number, ballot, .. }
             | VoterMessage::Accepted { number, ballot }
-            | VoterMessage::Refuse { number, promised: ballot } => *number <= MAX_VERSION && round(ballot),
+            | VoterMessage::Refuse { number, promised: ballot } => {
+                *number <= MAX_VERSION && valid_round(ballot)
+            }
             VoterMessage::Promise { number, ballot, accepted } => {
-                *number <= MAX_VERSION && round(ballot) && accepted.as_ref().is_none_or(|(b, ..)| round(b))
+                *number <= MAX_VERSION
+                    && valid_round(ballot)
+                    && accepted.as_ref().is_none_or(|(b, ..)| valid_round(b))
             }
             VoterMessage::Learn { number, .. } | VoterMessage::Have { number, .. } => *number <= MAX_VERSION,
             VoterMessage::Behind { have } | VoterMessage::Want { have, .. } => *have <= MAX_VERSION,
@@ -84,7 +88,7 @@
     }
 }
 
-/// Between voters.
+/// A message from one voter to another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VoterMessage {
@@ -107,74 +111,77 @@
         number: u64,
         ballot: Ballot,
     },
-    /// A higher try was promised.
+    /// Rejects a ballot lower than the promised one.
     Refuse {
         number: u64,
         promised: Ballot,
     },
-    /// That version is chosen.
+    /// The version is chosen.
     Learn {
         number: u64,
         id: u64,
         text: String,
     },
-    /// The sender lacks the version before.
+    /// The sender does not know the preceding version.
     Behind {
         have: u64,
     },
-    /// How far are you? Answered with `Have`, and with `Learn` where something newer is chosen. `start` is drawn at the asker's
-    /// start: an answer to an earlier one says nothing of what it has lost since.
+    /// Asks for the receiver's newest version. The receiver answers with `Have`, and with `Learn` if it knows a newer version.
     Want {
+        /// Random number drawn when the sender started. It lets the sender ignore answers to requests from before a restart,
+        /// which say nothing about what it has lost since.
         start: u64,
         have: u64,
-        /// The asker knows from which version on it may vote.
+        /// The sender knows from which version on it may vote.
         ready: bool,
     },
     Have {
         start: u64,
         number: u64,
-        /// Something was accepted for the version after.
+        /// The sender has accepted a value for the next version.
         accepted: bool,
     },
 }
 
-/// From a director or an operator.
+/// A request from a client, which is a director, an operator or another voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClientRequest {
-    /// First on each connection; answered with `Welcome`.
+    /// The first request on each connection; answered with `Welcome`.
     Hello {
         fleet: String,
     },
-    /// Whether the connection lives; answered with `Pong`.
+    /// Checks that the connection is alive; answered with `Pong`.
     Ping,
-    /// A director asks to go on.
+    /// A director asks to renew its lease.
     Renew {
         name: String,
-        /// Drawn at its start.
+        /// Random number drawn when the director started.
         boot: u64,
         seq: u64,
-        /// The version it knows; 0: none.
+        /// The newest version that the director knows; 0 if none.
         have: u64,
-        /// s; the lease that it takes.
+        /// Duration of the requested lease, in seconds.
         lease: f64,
-        /// s left of the lease it has.
+        /// Remaining time of the current lease, in seconds.
         left: f64,
-        /// What it acts on, for operators.
+        /// Label of the versions that the director acts on, for operators.
         acts: String,
-        /// How it takes what it lacks; directors before version chains take documents alone.
+        /// How the director receives versions that it lacks. Directors that predate version chains omit it and receive whole
+        /// documents.
         #[serde(default, skip_serializing_if = "CatchUp::is_document")]
         wants: CatchUp,
     },
     Propose {
         after: u64,
         value: Value,
-        /// Said by an operator: half of what was listed may go at once.
+        /// The operator confirms changes that need it, such as the removal of half of a list at once.
         sure: bool,
     },
+    /// Asks for the voter's status.
     #[serde(rename = "standing")]
     Status,
-    /// An earlier version's content.
+    /// Asks for the content of an earlier version.
     Content {
         number: u64,
     },
@@ -184,16 +191,16 @@
     },
 }
 
-/// How a director takes versions that it lacks.
+/// How a director receives versions that it lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CatchUp {
-    /// The newest, whole.
+    /// The newest version as a whole document.
     #[default]
     Document,
-    /// Each since the one that it knows, as a chain, or nothing: under a lease it does not pass over any.
+    /// A chain of all versions since the known one, or nothing: a director under a lease must not skip versions.
     Chain,
-    /// A chain, or the newest whole where there is none.
+    /// A chain, or the newest version as a whole document if the log does not reach back far enough.
     Either,
 }
 
@@ -203,18 +210,19 @@
     }
 }
 
-/// How a director stands with a voter.
+/// A director's state as a voter knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectorStatus {
     pub name: String,
     pub have: u64,
     pub acts: String,
-    /// s since it last asked.
+    /// Seconds since its last request.
     pub heard: f64,
-    /// s left of its lease when it asked.
+    /// Remaining time of its lease at that request, in seconds.
     pub left: f64,
 }
 
+/// A voter's response to a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VoterResponse {
@@ -222,14 +230,14 @@
         me: VoterId,
     },
     Pong,
-    /// At that moment nothing newer than `newest` was accepted, unless `pending`.
+    /// When the request was handled, the voter had accepted nothing newer than `newest`, unless `pending` is set.
     Granted {
         seq: u64,
         newest: u64,
         pending: bool,
-        /// The newest version, where the director lacks it.
+        /// The newest version, if the director lacks it and takes whole documents.
         document: Option<Chosen>,
-        /// Each version since the one that the director knows, where it wants them so.
+        /// Every version since the one that the director knows, if it takes chains.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         chain: Vec<Delta>,
     },
@@ -240,12 +248,12 @@
     Agreed {
         number: u64,
     },
-    /// Another proposal came first.
+    /// Another proposal was chosen first.
     Lost {
         newest: u64,
         digest: String,
     },
-    /// Nothing was decided in time; it may still be.
+    /// The proposal was not decided in time; it may still be chosen.
     Unknown {
         why: String,
     },
@@ -258,10 +266,11 @@
         digest: String,
         pending: bool,
         votes: bool,
-        /// It is one of those who decide the version after the newest, and who they are.
+        /// The voter is one of those that decide the version after the newest.
         listed: bool,
+        /// The voters that decide the version after the newest.
         deciding: Vec<VoterId>,
-        /// Versions a second that it has learned over the last minute.
+        /// Versions learned per second over the last minute.
         #[serde(default)]
         changes: f64,
         directors: Vec<DirectorStatus>,
@@ -269,10 +278,10 @@
     Content {
         found: Option<Chosen>,
     },
-    /// To a voter that asked, where there is no line to it yet.
+    /// A message to another voter, sent on the connection that it opened when there is no connection to it.
     Voter {
         word: VoterMessage,
     },
-    /// That line was none; the connection ends.
+    /// The request was malformed; the connection is closed.
     Fault(String),
 }
