--- a/crates/kelpdoor/src/ids.rs
+++ b/crates/kelpdoor/src/ids.rs
@@ -1,4 +1,4 @@
-//! One type for each kind of id.
+//! Types of identifiers.
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident($raw:ty)) => {
@@ -9,18 +9,18 @@
 }
 
 id!(
-    /// A session as one director knows it; a viewer who comes again has a new one.
+    /// A session at one director; a viewer that returns gets a new one.
     SessId(u64)
 );
 id!(
-    /// A media node; the same at every director, and kept over restarts of its process.
+    /// A media node; the same at every director and across restarts of its process.
     NodeId(u32)
 );
 id!(
-    /// What is watched.
+    /// A title.
     TitleId(u64)
 );
 id!(
-    /// A service group, by its place in the terms.
+    /// A service group: its index in [`Terms::groups`](crate::Terms::groups).
     GroupId(u8)
 );
--- a/crates/kelpdoor/src/orders.rs
+++ b/crates/kelpdoor/src/orders.rs
@@ -1,35 +1,35 @@
-//! Where decisions go. Whoever calls the director passes a writer of its own.
+//! The output of a round.
 
 use crate::ids::{NodeId, SessId};
 
-/// Takes decisions in the order in which they are to act.
+/// Receives the decisions of a round, in the order in which they take effect.
 pub trait Orders {
     /// Sets the rung of a session, before its SETUP or while it plays.
     fn set_rung(&mut self, sess: SessId, rung: u8);
-    /// Sends a SETUP that is given up after `wait` seconds; `None` waits as long as the viewer does.
+    /// Sends a SETUP that times out after `wait` seconds; `None` waits until the viewer gives up.
     fn send_setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>);
-    /// Stops waiting for the SETUP of that number.
+    /// Cancels the SETUP with number `setup` of a session; the first one has number 0.
     fn withdraw(&mut self, sess: SessId, setup: u8);
-    /// Final answer: not now; the viewer may come back after `come_back` seconds.
+    /// Final answer: the session is refused for now; the viewer may retry after `come_back` seconds.
     fn reply_busy(&mut self, sess: SessId, come_back: Option<f64>);
-    /// Final answer: it failed, and it may have run.
+    /// Final answer: the session failed, and a SETUP may have run.
     fn reply_failed(&mut self, sess: SessId);
-    /// Takes a playing session off its node; its viewer comes back to this director.
+    /// Removes a playing session from its node; its viewer returns to this director.
     fn shift(&mut self, sess: SessId);
-    /// Asks the list of nodes for changes from now on, or to stop sending them.
+    /// Starts or stops the subscription to changes of the node list.
     fn subscribe(&mut self, on: bool);
-    /// Asks for the whole list of nodes once.
+    /// Requests the complete node list once.
     fn fetch_list(&mut self);
-    /// Asks a node whether it lives.
+    /// Asks a node for a sign of life.
     fn probe(&mut self, node: NodeId);
-    /// Closes idle connections to a node.
+    /// Closes the idle connections to a node.
     fn close_idle_connections(&mut self, node: NodeId);
     /// Sends a message to another director, or to all of them.
     fn send_message(&mut self, director: Option<u16>, message: &[u8]);
-    /// Adds a line to the report.
+    /// Adds a line to the log.
     fn log(&mut self, line: &str);
-    /// Says that the caller's decisions can no longer be trusted.
+    /// Reports that the decisions of the caller can no longer be trusted.
     fn report_fault(&mut self, why: &str);
-    /// Calls the director again after that many seconds, even if nothing comes in.
+    /// Calls the director again after `after` seconds, even without input.
     fn wake_after(&mut self, after: f64);
 }
