--- a/crates/kelpdoor/src/accounting.rs
+++ b/crates/kelpdoor/src/accounting.rs
@@ -1,204 +1,208 @@
-//! A director's bookkeeping: what is counted where. Nothing is decided here.
+//! Accounting of sessions, streams, seats and link loads. This module decides nothing.
 
 use std::collections::BTreeSet;
 
 use crate::decide::Director;
 use crate::ids::{NodeId, SessId};
 use crate::round::{ListedNode, NewSession, Phase};
-use crate::state::{Nodes, Sess, Stage};
+use crate::state::{Nodes, Session, Stage};
 
 impl Director {
-    /// A node's share in thousandths; 0 for one that is not listed.
+    /// The share of new sessions that a node gets, in thousandths; 0 for a node that is not listed.
     pub fn share(&self, node: NodeId) -> f64 {
         self.nodes.index.get(&node).map_or(0.0, |&i| self.nodes.share[i])
     }
 
-    /// What is asked of a node's link and of its rack's uplink over what they give, as it is believed; `None` for a node
-    /// that is not known.
+    /// The estimated demand over capacity of a node's link and of its rack's uplink; `None` for an unknown
+    /// node.
     pub fn fullness(&self, node: NodeId) -> Option<(f64, f64)> {
         let i = *self.nodes.index.get(&node)?;
-        let full = |l: usize| self.asked(l) / self.ledger.size[l].max(1e-9);
+        let full = |l: usize| self.demand(l) / self.links.capacity[l].max(1e-9);
         Some((full(self.link(i)), full(self.rack(i))))
     }
 
-    pub(crate) fn new_node(&mut self, id: NodeId) -> usize {
+    pub(crate) fn add_node(&mut self, id: NodeId) -> usize {
         let i = self.nodes.add(id);
         self.nodes.gap_mean[i] = self.terms.told_every;
-        self.ledger.clear(self.link(i), self.terms.link_unit);
+        self.links.reset(self.link(i), self.terms.link_unit);
         i
     }
 
+    /// Index of a node's rack, which is also the index of its uplink.
     pub(crate) fn rack(&self, i: usize) -> usize {
         self.nodes.cell[i] as usize % self.terms.racks
     }
 
+    /// Index of a node's link.
     pub(crate) fn link(&self, i: usize) -> usize {
         self.terms.racks + 1 + i
     }
 
-    /// Where the ledger counts the fleet as a whole.
+    /// Index of the sum over all links.
     pub(crate) fn fleet(&self) -> usize {
         self.terms.racks
     }
 
-    /// Whether sessions of ours are at a node, SETUPs included.
-    pub(crate) fn holds(&self, i: usize) -> bool {
+    /// Whether this director has sessions at a node, SETUPs in flight included.
+    pub(crate) fn has_sessions(&self, i: usize) -> bool {
         self.nodes.streams[i] >= 1.0
     }
 
-    /// Listed nodes with sessions of ours.
-    pub(crate) fn held(&self) -> Vec<usize> {
-        self.nodes.listed.iter().copied().filter(|&i| self.holds(i)).collect()
+    /// Listed nodes with sessions of this director.
+    pub(crate) fn nodes_with_sessions(&self) -> Vec<usize> {
+        self.nodes.listed.iter().copied().filter(|&i| self.has_sessions(i)).collect()
     }
 
     /// The uplinks, then the links, of the given nodes.
-    pub(crate) fn held_links(&self, held: &[usize]) -> Vec<usize> {
-        let racks: BTreeSet<usize> = held.iter().map(|&i| self.rack(i)).collect();
-        racks.into_iter().chain(held.iter().map(|&i| self.link(i))).collect()
+    pub(crate) fn links_of(&self, nodes: &[usize]) -> Vec<usize> {
+        let racks: BTreeSet<usize> = nodes.iter().map(|&i| self.rack(i)).collect();
+        racks.into_iter().chain(nodes.iter().map(|&i| self.link(i))).collect()
     }
 
-    /// Indexes the nodes that are listed now, also by rack, and sums their sizes.
-    pub(crate) fn relist(&mut self) {
+    /// Rebuilds the indices of listed nodes, also by rack, and the sums of sizes and capacities.
+    pub(crate) fn refresh_listed(&mut self) {
         let Nodes { index, phase, .. } = &self.nodes;
         let listed: Vec<usize> = index.values().copied().filter(|&i| phase[i] != Phase::Gone).collect();
         let mut by_rack = vec![Vec::new(); self.terms.racks];
         listed.iter().for_each(|&i| by_rack[self.rack(i)].push(i));
-        self.nodes.size_sum = listed.iter().map(|&i| self.nodes.size[i]).sum();
+        self.nodes.total_size = listed.iter().map(|&i| self.nodes.size[i]).sum();
         let fleet = self.fleet();
-        self.ledger.size[fleet] = listed.iter().map(|&i| self.ledger.size[self.link(i)]).sum();
+        self.links.capacity[fleet] = listed.iter().map(|&i| self.links.capacity[self.link(i)]).sum();
         (self.nodes.listed, self.nodes.by_rack) = (listed, by_rack);
     }
 
-    /// Copies what a line of the list tells of a node that has an index.
-    pub(crate) fn copy_line(&mut self, i: usize, line: &ListedNode, new: bool) {
+    /// Copies an entry of the node list to the node with index `i`.
+    pub(crate) fn copy_listed(&mut self, i: usize, listing: &ListedNode, new: bool) {
         let l = self.link(i);
-        let (n, f) = (&mut self.nodes, &self.terms);
-        n.zone[i] = line.zone;
-        n.cell[i] = line.cell;
-        n.size[i] = line.size.max(1e-3);
-        n.places[i] = f.places.get(line.kind as usize).copied().unwrap_or(f64::MAX);
-        let size = f.link_unit * n.size[i];
+        let (n, terms) = (&mut self.nodes, &self.terms);
+        n.zone[i] = listing.zone;
+        n.cell[i] = listing.cell;
+        n.size[i] = listing.size.max(1e-3);
+        n.places[i] = terms.places.get(listing.kind as usize).copied().unwrap_or(f64::MAX);
+        let capacity = terms.link_unit * n.size[i];
         if new {
-            self.ledger.size[l] = size;
+            self.links.capacity[l] = capacity;
         }
-        self.ledger.listed[l] = size;
+        self.links.listed_capacity[l] = capacity;
     }
 
-    /// Link-size share of a node, in thousandths.
+    /// A node's share by size alone, in thousandths.
     pub(crate) fn base_share(&self, i: usize) -> f64 {
-        1000.0 * self.nodes.size[i] / self.nodes.size_sum
+        1000.0 * self.nodes.size[i] / self.nodes.total_size
     }
 
-    /// Nothing of the others' is at a node as of now.
-    pub(crate) fn emptied(&mut self, now: f64, i: usize) {
+    /// Records that a node carries no sessions of other directors as of now.
+    pub(crate) fn clear_others(&mut self, now: f64, i: usize) {
         let l = self.link(i);
-        (self.ledger.others[l], self.ledger.read_at[l]) = (0.0, now);
+        (self.links.others[l], self.links.measured_at[l]) = (0.0, now);
         self.nodes.other_streams[i] = 0.0;
     }
 
-    /// Whether a node is taken for just started only for want of news.
-    pub(crate) fn doubted(&self, i: usize) -> bool {
+    /// Whether a node counts as just started only because its real start is unknown.
+    pub(crate) fn is_presumed_cold(&self, i: usize) -> bool {
         self.nodes.cold_since[i] == f64::INFINITY && self.nodes.cold_until[i] < f64::INFINITY
     }
 
-    /// How full links, or uplinks, were of late as far as we read them.
-    pub(crate) fn common(&self, l: usize) -> f64 {
-        self.common[usize::from(l < self.terms.racks)]
+    /// The recent mean fullness of links, or of uplinks if `l` is one, over all measurements.
+    pub(crate) fn mean_fill(&self, l: usize) -> f64 {
+        self.mean_fill[usize::from(l < self.terms.racks)]
     }
 
-    /// Takes in a session that was under way at our start.
-    pub(crate) fn adopt(&mut self, now: f64, ask: &NewSession, node: NodeId) {
-        let i = self.nodes.index.get(&node).copied().unwrap_or_else(|| self.new_node(node));
-        let mut sess = Sess::new(ask, now, self.terms.groups[ask.group.0 as usize].floor, 0.0);
-        (sess.stage, sess.node) = (Stage::Playing { since: f64::NEG_INFINITY }, i);
-        sess.changed_at = f64::NEG_INFINITY;
-        self.sess.insert(ask.sess, sess);
-        self.hold(now, ask.sess);
-        self.nodes.noted_at[i] = now + self.terms.seen_after;
+    /// Adds a session that played before this director started.
+    pub(crate) fn add_handed_over(&mut self, now: f64, request: &NewSession, node: NodeId) {
+        let i = self.nodes.index.get(&node).copied().unwrap_or_else(|| self.add_node(node));
+        let mut session = Session::new(request, now, self.terms.groups[request.group.0 as usize].floor, 0.0);
+        (session.stage, session.node) = (Stage::Playing { since: f64::NEG_INFINITY }, i);
+        session.changed_at = f64::NEG_INFINITY;
+        self.sessions.insert(request.sess, session);
+        self.acquire(now, request.sess);
+        self.nodes.notified_at[i] = now + self.terms.seen_after;
     }
 
-    /// Whether another viewer of ours has that title at a node, in that group and at that rung, whose stream is shared.
-    pub(crate) fn joins(&self, i: usize, ask: &NewSession, rung: u8) -> bool {
-        self.shared.contains_key(&(i, ask.title, ask.group.0, rung))
+    /// Whether this director has a shared stream of that title at a node, in that group and at that rung.
+    pub(crate) fn joins_stream(&self, i: usize, request: &NewSession, rung: u8) -> bool {
+        self.shared_streams.contains_key(&(i, request.title, request.group.0, rung))
     }
 
-    /// Counts a session's stream in at its node; what it adds.
-    fn enter(&mut self, sess: SessId) -> f64 {
-        let s = &self.sess[&sess];
-        let (i, rung, group) = (s.node, s.rung, &self.terms.groups[s.ask.group.0 as usize]);
-        let kb = group.kb[rung as usize];
-        let joins = self.joins(i, &s.ask, rung);
+    /// Adds a session's stream at its node; returns the rate that it adds.
+    fn add_stream(&mut self, sess: SessId) -> f64 {
+        let s = &self.sessions[&sess];
+        let (i, rung, group) = (s.node, s.rung, &self.terms.groups[s.request.group.0 as usize]);
+        let kb = group.rates[rung as usize];
+        let joins = self.joins_stream(i, &s.request, rung);
         if group.join < 1.0 {
-            *self.shared.entry((i, s.ask.title, s.ask.group.0, rung)).or_default() += 1;
+            *self.shared_streams.entry((i, s.request.title, s.request.group.0, rung)).or_default() += 1;
         }
         self.nodes.streams[i] += f64::from(u8::from(!joins));
         if joins { kb * group.join } else { kb }
     }
 
-    /// Counts a session's stream out again; what it took, which is its viewer's part while others share it.
-    fn leave(&mut self, sess: SessId) -> f64 {
-        let s = &self.sess[&sess];
-        let (i, group) = (s.node, &self.terms.groups[s.ask.group.0 as usize]);
-        let kb = group.kb[s.rung as usize];
-        let key = (i, s.ask.title, s.ask.group.0, s.rung);
-        if let Some(viewers) = self.shared.get_mut(&key).filter(|v| **v > 1) {
+    /// Removes a session's stream from its node; returns the rate that it frees, which is the viewer's part
+    /// while others share the stream.
+    fn remove_stream(&mut self, sess: SessId) -> f64 {
+        let s = &self.sessions[&sess];
+        let (i, group) = (s.node, &self.terms.groups[s.request.group.0 as usize]);
+        let kb = group.rates[s.rung as usize];
+        let key = (i, s.request.title, s.request.group.0, s.rung);
+        if let Some(viewers) = self.shared_streams.get_mut(&key).filter(|v| **v > 1) {
             *viewers -= 1;
             return kb * group.join;
         }
-        self.shared.remove(&key);
+        self.shared_streams.remove(&key);
         self.nodes.streams[i] -= 1.0;
         kb
     }
 
-    /// Counts a session's rate in or out at its node.
-    pub(crate) fn count(&mut self, now: f64, i: usize, kb: f64) {
+    /// Adds a rate to a node's link, its rack's uplink and the sum over all links.
+    pub(crate) fn add_load(&mut self, now: f64, i: usize, kb: f64) {
         let (l, r) = (self.link(i), self.rack(i));
-        self.ledger.add(now, l, kb);
-        self.ledger.add(now, r, kb);
-        self.ledger.add(now, self.fleet(), kb);
+        self.links.add(now, l, kb);
+        self.links.add(now, r, kb);
+        self.links.add(now, self.fleet(), kb);
     }
 
-    /// Counts a session in at its node: rate, place and seat.
-    pub(crate) fn hold(&mut self, now: f64, sess: SessId) {
-        let s = &self.sess[&sess];
-        let (i, group, title) = (s.node, s.ask.group.0, s.ask.title);
-        let kb = self.enter(sess);
+    /// Counts a session at its node: stream, seat and rate.
+    pub(crate) fn acquire(&mut self, now: f64, sess: SessId) {
+        let s = &self.sessions[&sess];
+        let (i, group, title) = (s.node, s.request.group.0, s.request.title);
+        let kb = self.add_stream(sess);
         *self.seats.entry((title, group)).or_default() += 1;
-        self.count(now, i, kb);
+        self.add_load(now, i, kb);
     }
 
+    /// Reverts [`Director::acquire`].
     pub(crate) fn release(&mut self, now: f64, sess: SessId) {
-        let s = &self.sess[&sess];
-        let (i, group, title) = (s.node, s.ask.group.0, s.ask.title);
-        let kb = self.leave(sess);
+        let s = &self.sessions[&sess];
+        let (i, group, title) = (s.node, s.request.group.0, s.request.title);
+        let kb = self.remove_stream(sess);
         if let Some(held) = self.seats.get_mut(&(title, group)) {
             *held -= 1;
             if *held == 0 {
                 self.seats.remove(&(title, group));
             }
         }
-        self.count(now, i, -kb);
+        self.add_load(now, i, -kb);
     }
 
-    /// Counts a session at another rung.
+    /// Changes the rung that a session is counted at.
     pub(crate) fn recount(&mut self, now: f64, sess: SessId, rung: u8) {
-        // Without a SETUP out it is at no node, and nothing of it is counted.
+        // A pending session is at no node and not counted.
         let Some((i, g)) =
-            self.sess.get(&sess).filter(|s| s.stage != Stage::Owed).map(|s| (s.node, s.ask.group))
+            self.sessions.get(&sess).filter(|s| s.stage != Stage::Pending).map(|s| (s.node, s.request.group))
         else {
             return;
         };
-        let before = self.leave(sess);
-        let rungs = self.terms.groups[g.0 as usize].kb.len();
-        if let Some(s) = self.sess.get_mut(&sess) {
+        let before = self.remove_stream(sess);
+        let rungs = self.terms.groups[g.0 as usize].rates.len();
+        if let Some(s) = self.sessions.get_mut(&sess) {
             s.rung = rung.min(rungs as u8 - 1);
         }
-        let after = self.enter(sess);
-        self.count(now, i, after - before);
+        let after = self.add_stream(sess);
+        self.add_load(now, i, after - before);
     }
 
-    /// Gives up the index of each node that is gone and holds nothing of ours.
-    pub(crate) fn forget_gone(&mut self) {
+    /// Frees the index of each node that is no longer listed and has no session of this director.
+    pub(crate) fn remove_gone_nodes(&mut self) {
         let Nodes { index, phase, streams, free, .. } = &mut self.nodes;
         index.retain(|_, i| {
             let keep = phase[*i] != Phase::Gone || streams[*i] > 0.5;
--- a/crates/kelpdoor/src/derived_terms.rs
+++ b/crates/kelpdoor/src/derived_terms.rs
@@ -1,4 +1,4 @@
-//! The few figures that decisions use, derived once from the terms a director is given.
+//! The values that decisions use, derived once from the [`Terms`] of a director.
 
 use crate::terms::{FurtherBudget, GroupTerms, Repeat, Terms};
 
@@ -9,21 +9,23 @@
     pub seats: u32,
     pub repeat: Repeat,
     pub repeat_window: f64,
-    /// What a viewer beside another of its title adds, as a part of the rate; 1: all of it.
+    /// Part of the rate that a viewer adds to a shared stream; 1 if streams are not shared.
     pub join: f64,
-    /// kB a second of each rung.
-    pub kb: Vec<f64>,
-    /// Utility a second of each rung.
-    pub earns: Vec<f64>,
-    pub switch: f64,
+    /// kB/s of each rung.
+    pub rates: Vec<f64>,
+    /// Utility per second of each rung.
+    pub utility: Vec<f64>,
+    /// Utility that a rung change costs.
+    pub switch_cost: f64,
 }
 
 impl Group {
-    /// What the step above rung `low` takes, and its utility for each kB; `switch` counts a change's cost.
+    /// The rate of the step from rung `low` to the next, and its utility per kB after adding `switch` to its
+    /// utility.
     pub fn step(&self, low: u8, switch: f64) -> (f64, f64) {
-        let (f, t) = (low as usize + 1, low as usize);
-        let kb = self.kb[f] - self.kb[t];
-        (kb, (self.earns[f] - self.earns[t] + switch) / kb.max(1e-9))
+        let (high, low) = (low as usize + 1, low as usize);
+        let kb = self.rates[high] - self.rates[low];
+        (kb, (self.utility[high] - self.utility[low] + switch) / kb.max(1e-9))
     }
 }
 
@@ -32,23 +34,24 @@
     pub directors: f64,
     pub zone: u16,
     pub groups: Vec<Group>,
-    /// Utility for each kB of a lowest rung, mean over groups.
-    pub first_earns: f64,
+    /// Utility per kB of the lowest rung, mean over the groups.
+    pub lowest_rung_density: f64,
     pub places: Vec<f64>,
     pub cells: u16,
     pub racks: usize,
     pub link_unit: f64,
     pub rack_uplink: f64,
     pub seen_after: f64,
-    /// Of a link; infinite where nodes never reply busy for it.
+    /// Part of a link; infinite if nodes never reply busy because of it.
     pub refuses_from: f64,
     pub told_every: f64,
-    pub near_first: bool,
+    pub prefer_own_zone: bool,
     pub max_setups: u32,
     pub may_withdraw: bool,
     pub come_back: Option<f64>,
     pub cold_from: f64,
     pub warm_within: f64,
+    /// SETUPs per place that a warm node bears in one `fall_window`.
     pub cold_budget: f64,
     pub fall_window: f64,
     pub further: Option<FurtherBudget>,
@@ -68,18 +71,18 @@
                 repeat: g.repeat,
                 repeat_window: g.repeat_window,
                 join: g.join,
-                kb: terms.ladder.iter().map(|kb| kb * g.scale).collect(),
-                earns: terms.rung_utility.iter().map(|u| u * g.utility).collect(),
-                switch: terms.switch_cost * g.utility,
+                rates: terms.ladder.iter().map(|kb| kb * g.scale).collect(),
+                utility: terms.rung_utility.iter().map(|u| u * g.utility).collect(),
+                switch_cost: terms.switch_cost * g.utility,
             }
         };
         let groups: Vec<Group> = terms.groups.iter().map(group).collect();
-        let first = groups.iter().map(|g| g.earns[0] / g.kb[0].max(1e-9));
+        let lowest = groups.iter().map(|g| g.utility[0] / g.rates[0].max(1e-9));
         DerivedTerms {
             me: terms.me.into(),
             directors: terms.directors.max(terms.me + 1).into(),
             zone: terms.zone,
-            first_earns: first.sum::<f64>() / groups.len().max(1) as f64,
+            lowest_rung_density: lowest.sum::<f64>() / groups.len().max(1) as f64,
             groups,
             places: terms.places_by_kind.clone(),
             cells: terms.cells.max(1),
@@ -89,7 +92,7 @@
             seen_after: terms.seen_after,
             refuses_from: terms.refuses_from.unwrap_or(f64::INFINITY),
             told_every: terms.told_every,
-            near_first: terms.cross_zone_price > 0.0,
+            prefer_own_zone: terms.cross_zone_price > 0.0,
             max_setups: terms.max_setups.max(1),
             may_withdraw: terms.may_withdraw,
             come_back: terms.come_back,
--- a/crates/kelpdoor/src/lib.rs
+++ b/crates/kelpdoor/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decides on which media node a video session plays and at what rung, given shared links.
 //!
-//! The library does no I/O: [`Director::round`] takes all input since the last call and writes its decisions to an
-//! [`Orders`] implementation.
+//! The library does no I/O: [`Director::round`] takes all input since the last call and writes its decisions
+//! to an [`Orders`] implementation.
 
 mod accounting;
 mod decide;
--- a/crates/kelpdoor/src/terms.rs
+++ b/crates/kelpdoor/src/terms.rs
@@ -48,8 +48,8 @@
     pub scale: f64,
     /// Sessions of one title that a director may have at once; 0 means any number.
     pub seats: u32,
-    /// Part of the rate that a further viewer of a title adds to the stream of that title at the same node and
-    /// rung; 1 means that streams are not shared.
+    /// Part of the rate that a further viewer of a title adds to the stream of that title at the same node
+    /// and rung; 1 means that streams are not shared.
     pub join: f64,
 }
 
