--- a/crates/kelpdoor/tests/any_settings.rs
+++ b/crates/kelpdoor/tests/any_settings.rs
@@ -1,5 +1,5 @@
-//! Five of the six rules under settings drawn at random, with nodes that answer at random: each seed is one director's short
-//! life. The pace of cold nodes has tests of its own beside the traces.
+//! Checks five of the six rules with random settings and nodes that answer at random; each seed is a short
+//! run of one director. The pace of cold nodes has its own tests in `traces.rs` and `cold_fleet.rs`.
 
 use std::collections::BTreeMap;
 
@@ -14,102 +14,110 @@
 const SEEDS: u64 = 400;
 const NODES: u32 = 6;
 const ROUNDS: usize = 400;
-/// s; the longest time between rounds, and so by how much later what ended in time may be told and answered.
-const APART: f64 = 0.04;
+/// s; longest time between rounds, and so the largest delay of an outcome and of its answer.
+const MAX_ROUND_GAP: f64 = 0.04;
 
-struct Held {
-    ask: NewSession,
-    due: f64,
-    /// The SETUP that is out: its node, and when it is given up.
-    out: Option<(NodeId, f64)>,
+struct OpenSession {
+    request: NewSession,
+    deadline: f64,
+    /// Node and time-out of the SETUP in flight.
+    in_flight: Option<(NodeId, f64)>,
     setups: usize,
-    /// The first SETUP that may have run: its node, and when it was sent.
-    ran: Option<(NodeId, f64)>,
+    /// Node and send time of the first SETUP that may have run.
+    maybe_ran: Option<(NodeId, f64)>,
     sent: f64,
-    plays: Option<NodeId>,
+    playing_at: Option<NodeId>,
 }
 
-/// Judges each order as it is given.
-struct Judge {
+/// Checks each order when it is given.
+struct RuleChecker {
     now: f64,
     terms: Terms,
     listed: BTreeMap<NodeId, ListedNode>,
-    held: BTreeMap<SessId, Held>,
-    taken: Vec<f64>,
+    open: BTreeMap<SessId, OpenSession>,
+    accepted: Vec<f64>,
     further: Vec<f64>,
     busy: usize,
     failed: usize,
     sent: usize,
 }
 
-impl Judge {
+impl RuleChecker {
     fn group(&self, sess: SessId) -> &GroupTerms {
-        &self.terms.groups[self.held[&sess].ask.group.0 as usize]
+        &self.terms.groups[self.open[&sess].request.group.0 as usize]
     }
 
     fn seats(&self, title: TitleId, group: GroupId) -> usize {
-        let holds = |h: &&Held| {
-            h.ask.title == title && h.ask.group == group && (h.out.is_some() || h.plays.is_some())
+        let holds = |h: &&OpenSession| {
+            h.request.title == title
+                && h.request.group == group
+                && (h.in_flight.is_some() || h.playing_at.is_some())
         };
-        self.held.values().filter(holds).count()
+        self.open.values().filter(holds).count()
     }
 
-    fn ended(&mut self, sess: SessId, proof: bool) {
-        let h = self.held.get_mut(&sess).expect("held");
-        let (node, _) = h.out.take().expect("one is out");
-        if !proof && h.ran.is_none() {
-            h.ran = Some((node, h.sent));
+    fn ended(&mut self, sess: SessId, did_not_run: bool) {
+        let h = self.open.get_mut(&sess).expect("the session is open");
+        let (node, _) = h.in_flight.take().expect("a SETUP is in flight");
+        if !did_not_run && h.maybe_ran.is_none() {
+            h.maybe_ran = Some((node, h.sent));
         }
     }
 }
 
-impl Orders for Judge {
+impl Orders for RuleChecker {
     fn set_rung(&mut self, sess: SessId, rung: u8) {
-        let (floor, top) = (self.group(sess).floor, self.held[&sess].ask.best_rung);
+        let (floor, top) = (self.group(sess).floor, self.open[&sess].request.best_rung);
         assert!((floor..=top).contains(&rung), "rung {rung} is not within {floor} to {top}");
     }
 
     fn send_setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
         self.sent += 1;
-        let (now, h) = (self.now, self.held.get(&sess).expect("still owed an answer"));
-        assert!(h.out.is_none() && h.plays.is_none(), "two SETUPs of {sess:?} would be out");
-        let line = self.listed[&node];
-        assert_eq!(line.phase, Phase::Ready, "{node:?} is not ready");
-        let off = (line.cell + self.terms.cells - h.ask.first_cell) % self.terms.cells;
-        assert!(off < h.ask.cells, "{node:?} does not hold the title");
-        assert!(h.setups < self.terms.max_setups as usize && now <= h.due);
+        let (now, h) = (self.now, self.open.get(&sess).expect("the session still waits for an answer"));
+        assert!(h.in_flight.is_none() && h.playing_at.is_none(), "two SETUPs of {sess:?} are in flight");
+        let listing = self.listed[&node];
+        assert_eq!(listing.phase, Phase::Ready, "{node:?} is not ready");
+        let off = (listing.cell + self.terms.cells - h.request.first_cell) % self.terms.cells;
+        assert!(off < h.request.cells, "{node:?} does not hold the title");
+        assert!(h.setups < self.terms.max_setups as usize && now <= h.deadline);
         let group = self.group(sess);
-        if let Some((first, at)) = h.ran {
+        if let Some((first, at)) = h.maybe_ran {
             let first = self.listed[&first];
             match group.repeat {
                 Repeat::Freely => {}
                 Repeat::Within(reach) => assert!(
-                    reach.joins((first.zone, first.cell), (line.zone, line.cell))
+                    reach.joins((first.zone, first.cell), (listing.zone, listing.cell))
                         && now - at <= group.repeat_window,
-                    "a keyed SETUP left its group or came late"
+                    "a keyed SETUP was repeated out of reach or too late"
                 ),
-                Repeat::Never => panic!("an unsafe SETUP was sent again without proof"),
+                Repeat::Never => panic!("an unsafe SETUP that may have run was repeated"),
             }
         }
         let seats = group.seats as usize;
-        assert!(seats == 0 || self.seats(h.ask.title, h.ask.group) < seats, "over its seats");
-        let (again, due) = (h.setups > 0, h.due);
+        assert!(
+            seats == 0 || self.seats(h.request.title, h.request.group) < seats,
+            "more sessions than seats"
+        );
+        let (again, deadline) = (h.setups > 0, h.deadline);
         if again && let Some(b) = self.terms.further {
             self.further.push(now);
             let lately = |all: &[f64]| all.iter().filter(|&&t| t > now - b.span).count() as f64;
-            assert!(lately(&self.further) <= b.free + b.per_taken * lately(&self.taken), "over the budget");
+            assert!(
+                lately(&self.further) <= b.free + b.per_taken * lately(&self.accepted),
+                "further SETUPs exceed the budget"
+            );
         }
-        let h = self.held.get_mut(&sess).expect("held");
+        let h = self.open.get_mut(&sess).expect("the session is open");
         h.setups += 1;
         h.sent = now;
-        h.out = Some((node, wait.map_or(due, |w| due.min(now + w))));
+        h.in_flight = Some((node, wait.map_or(deadline, |w| deadline.min(now + w))));
     }
 
     fn withdraw(&mut self, sess: SessId, _: u8) {
-        assert!(self.terms.may_withdraw, "not allowed here");
-        // Called off at the next round.
-        if let Some(h) = self.held.get_mut(&sess)
-            && let Some((_, until)) = &mut h.out
+        assert!(self.terms.may_withdraw, "SETUPs may not be withdrawn");
+        // The outcome arrives in the next round.
+        if let Some(h) = self.open.get_mut(&sess)
+            && let Some((_, until)) = &mut h.in_flight
         {
             *until = self.now;
         }
@@ -118,16 +126,16 @@
     fn reply_busy(&mut self, sess: SessId, come_back: Option<f64>) {
         self.busy += 1;
         let repeat = self.group(sess).repeat;
-        let h = self.held.remove(&sess).expect("answered once");
-        assert!(h.out.is_none() && h.plays.is_none() && self.now <= h.due + APART);
-        assert!(h.ran.is_none() || matches!(repeat, Repeat::Freely | Repeat::Within(Reach::Anywhere)));
-        assert_eq!(come_back, self.terms.come_back, "with when to come back, where that may be said");
+        let h = self.open.remove(&sess).expect("the session is answered only once");
+        assert!(h.in_flight.is_none() && h.playing_at.is_none() && self.now <= h.deadline + MAX_ROUND_GAP);
+        assert!(h.maybe_ran.is_none() || matches!(repeat, Repeat::Freely | Repeat::Within(Reach::Anywhere)));
+        assert_eq!(come_back, self.terms.come_back, "the busy reply carries the retry time of the terms");
     }
 
     fn reply_failed(&mut self, sess: SessId) {
         self.failed += 1;
-        let h = self.held.remove(&sess).expect("answered once");
-        assert!(h.out.is_none() && h.plays.is_none() && self.now <= h.due + APART);
+        let h = self.open.remove(&sess).expect("the session is answered only once");
+        assert!(h.in_flight.is_none() && h.playing_at.is_none() && self.now <= h.deadline + MAX_ROUND_GAP);
     }
 
     fn shift(&mut self, _: SessId) {}
@@ -143,7 +151,7 @@
     fn wake_after(&mut self, _: f64) {}
 }
 
-fn settings(rng: &mut Rng) -> Terms {
+fn random_terms(rng: &mut Rng) -> Terms {
     let rungs = rng.usize(1..8);
     let mut kb = 0.0;
     let ladder: Vec<f64> = std::iter::repeat_with(|| {
@@ -206,7 +214,7 @@
     }
 }
 
-fn line(rng: &mut Rng, n: u32, now: f64) -> ListedNode {
+fn random_listed_node(rng: &mut Rng, n: u32, now: f64) -> ListedNode {
     let up_since = if rng.u8(0..8) == 0 { now - rng.f64() } else { 0.0 };
     let phase = [Phase::Ready, Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(0..5)];
     ListedNode {
@@ -220,32 +228,32 @@
     }
 }
 
-/// Takes `lines` into the round and into what the judge knows to be told.
-fn list(round: &mut Round, judge: &mut Judge, lines: Vec<ListedNode>) {
-    lines.iter().for_each(|l| {
-        judge.listed.insert(l.node, *l);
+/// Adds listed nodes to the round and to the state of the checker.
+fn add_list_change(round: &mut Round, checker: &mut RuleChecker, nodes: Vec<ListedNode>) {
+    nodes.iter().for_each(|l| {
+        checker.listed.insert(l.node, *l);
     });
-    round.list_changes.push(ListChange::Changed(lines));
+    round.list_changes.push(ListChange::Changed(nodes));
 }
 
-/// What nodes say by now of the SETUPs that are out, and of sessions that play.
-fn answers(rng: &mut Rng, round: &mut Round, judge: &mut Judge) {
-    let now = judge.now;
-    let asked: Vec<SessId> = judge.held.keys().copied().collect();
+/// Adds random answers of nodes for SETUPs in flight and for playing sessions.
+fn add_node_answers(rng: &mut Rng, round: &mut Round, checker: &mut RuleChecker) {
+    let now = checker.now;
+    let asked: Vec<SessId> = checker.open.keys().copied().collect();
     for sess in asked {
-        let h = judge.held.get_mut(&sess).expect("held");
+        let h = checker.open.get_mut(&sess).expect("the session is open");
         let load = LoadReport {
             streams: rng.bool().then(|| rng.f64() * 30.0),
             link: Some(rng.f64() * 2.0),
             uplink: None,
         };
-        if let Some(node) = h.plays {
+        if let Some(node) = h.playing_at {
             match rng.u8(0..30) {
                 0 => {
                     let outcome =
                         if rng.bool() { SetupOutcome::Served } else { SetupOutcome::ConnectionLost };
                     round.ended.push(Ended { sess, node, outcome, closed: true, load });
-                    judge.held.remove(&sess);
+                    checker.open.remove(&sess);
                 }
                 1..6 => round.measurements.push(Measurement::Link { sess, node, asked: rng.f64() * 1.5 }),
                 6..8 => round.measurements.push(Measurement::Uplink { sess, node, asked: rng.f64() * 1.5 }),
@@ -254,13 +262,13 @@
             }
             continue;
         }
-        let Some((node, until)) = h.out else { continue };
+        let Some((node, until)) = h.in_flight else { continue };
         if now >= until {
-            let outcome = if until < h.due { SetupOutcome::Withdrawn } else { SetupOutcome::TimedOut };
-            judge.ended(sess, false);
+            let outcome = if until < h.deadline { SetupOutcome::Withdrawn } else { SetupOutcome::TimedOut };
+            checker.ended(sess, false);
             round.ended.push(Ended { sess, node, outcome, closed: false, load });
         } else if rng.u8(0..6) == 0 {
-            (h.out, h.plays) = (None, Some(node));
+            (h.in_flight, h.playing_at) = (None, Some(node));
             round.playing.push(Playing { sess, node, took: now - h.sent });
         } else if rng.u8(0..6) == 0 {
             let outcome = [
@@ -271,7 +279,7 @@
                 SetupOutcome::ConnectionLost,
             ];
             let outcome = outcome[rng.usize(0..5)];
-            judge.ended(
+            checker.ended(
                 sess,
                 matches!(
                     outcome,
@@ -283,18 +291,18 @@
     }
 }
 
-fn life(seed: u64) -> (usize, usize, usize) {
+fn run_seed(seed: u64) -> (usize, usize, usize) {
     let mut rng = Rng::with_seed(seed);
-    let terms = settings(&mut rng);
+    let terms = random_terms(&mut rng);
     let mut director = Director::new(&terms, seed, 1000.0);
     let groups = terms.groups.len() as u16;
     let rungs = terms.ladder.len() as u8;
-    let mut judge = Judge {
+    let mut checker = RuleChecker {
         now: 1000.0,
         terms,
         listed: BTreeMap::new(),
-        held: BTreeMap::new(),
-        taken: Vec::new(),
+        open: BTreeMap::new(),
+        accepted: Vec::new(),
         further: Vec::new(),
         busy: 0,
         failed: 0,
@@ -302,28 +310,30 @@
     };
     let mut next = 0;
     for k in 0..ROUNDS {
-        judge.now += rng.f64() * APART;
-        let (now, mut round) = (judge.now, Round::default());
+        checker.now += rng.f64() * MAX_ROUND_GAP;
+        let (now, mut round) = (checker.now, Round::default());
         if k == 0 {
-            let lines: Vec<ListedNode> =
-                (0..NODES).map(|n| ListedNode { phase: Phase::Ready, ..line(&mut rng, n, now) }).collect();
-            judge.listed = lines.iter().map(|l| (l.node, *l)).collect();
-            round.list_changes.push(ListChange::Cached(lines));
+            let nodes: Vec<ListedNode> = (0..NODES)
+                .map(|n| ListedNode { phase: Phase::Ready, ..random_listed_node(&mut rng, n, now) })
+                .collect();
+            checker.listed = nodes.iter().map(|l| (l.node, *l)).collect();
+            round.list_changes.push(ListChange::Cached(nodes));
         } else if rng.u8(0..60) == 0 {
             let n = rng.u32(0..NODES);
-            list(&mut round, &mut judge, vec![line(&mut rng, n, now)]);
+            add_list_change(&mut round, &mut checker, vec![random_listed_node(&mut rng, n, now)]);
         }
-        answers(&mut rng, &mut round, &mut judge);
+        add_node_answers(&mut rng, &mut round, &mut checker);
         if rng.u8(0..20) == 0
-            && let Some((&sess, _)) = judge.held.iter().find(|(_, h)| h.plays.is_none() && h.out.is_none())
+            && let Some((&sess, _)) =
+                checker.open.iter().find(|(_, h)| h.playing_at.is_none() && h.in_flight.is_none())
         {
             round.departures.push(sess);
-            judge.held.remove(&sess);
+            checker.open.remove(&sess);
         }
         for _ in 0..if k == 0 { 0 } else { rng.usize(0..8).saturating_sub(5) } {
             next += 1;
             let group = GroupId(rng.u16(0..groups) as u8);
-            let ask = NewSession {
+            let request = NewSession {
                 sess: SessId(next),
                 group,
                 title: TitleId(rng.u64(0..3)),
@@ -332,38 +342,41 @@
                 cells: rng.u16(1..=6),
                 best_rung: rng.u8(0..rungs),
             };
-            judge.taken.push(now);
-            let held = Held {
-                ask,
-                due: now + ask.setup_timeout,
-                out: None,
+            checker.accepted.push(now);
+            let open = OpenSession {
+                request,
+                deadline: now + request.setup_timeout,
+                in_flight: None,
                 setups: 0,
-                ran: None,
+                maybe_ran: None,
                 sent: now,
-                plays: None,
+                playing_at: None,
             };
-            judge.held.insert(ask.sess, held);
-            round.new_sessions.push(ask);
+            checker.open.insert(request.sess, open);
+            round.new_sessions.push(request);
         }
-        director.round(now, &round, &mut judge);
-        // Half of them are past the doubts of their own start when viewers come.
+        director.round(now, &round, &mut checker);
+        // In half of the runs, the director no longer presumes nodes cold when viewers arrive.
         let quiet = if k == 0 && seed.is_multiple_of(2) { 60 } else { 0 };
         for _ in 0..quiet {
-            judge.now += 0.1;
-            director.round(judge.now, &Round::default(), &mut judge);
+            checker.now += 0.1;
+            director.round(checker.now, &Round::default(), &mut checker);
         }
-        for (sess, h) in &judge.held {
-            assert!(h.out.is_some() || h.plays.is_some(), "{sess:?} is held back: given up or sent, at once");
+        for (sess, h) in &checker.open {
+            assert!(
+                h.in_flight.is_some() || h.playing_at.is_some(),
+                "{sess:?} was neither sent nor given up at once"
+            );
         }
     }
-    (judge.sent, judge.busy, judge.failed)
+    (checker.sent, checker.busy, checker.failed)
 }
 
 #[test]
-fn the_rules_hold_under_any_settings() {
+fn random_settings_keep_all_rules() {
     let (mut sent, mut busy, mut failed) = (0, 0, 0);
     for seed in 0..SEEDS {
-        let (s, b, f) = std::panic::catch_unwind(|| life(seed)).unwrap_or_else(|e| {
+        let (s, b, f) = std::panic::catch_unwind(|| run_seed(seed)).unwrap_or_else(|e| {
             eprintln!("seed {seed}");
             std::panic::resume_unwind(e)
         });
--- a/crates/kelpdoor/tests/helper/mod.rs
+++ b/crates/kelpdoor/tests/helper/mod.rs
@@ -1,6 +1,6 @@
-//! A small fleet and a writer that prints decisions.
+//! A test harness for one director on a small fleet, which prints its decisions.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::fmt::Write;
 
@@ -11,8 +11,8 @@
 use kelpdoor::terms::{GroupTerms, Repeat, Terms};
 use kelpdoor::{Director, Orders, Round};
 
-/// One director, its clock, and what it decided.
-pub struct Desk {
+/// One director, its clock and the trace of its decisions.
+pub struct Harness {
     pub director: Director,
     pub now: f64,
     pub trace: Trace,
@@ -27,7 +27,7 @@
 
 impl Trace {
     fn line(&mut self, text: std::fmt::Arguments) {
-        writeln!(self.text, "{:.1} {text}", self.at).expect("strings take all");
+        writeln!(self.text, "{:.1} {text}", self.at).expect("writing to a string does not fail");
     }
 }
 
@@ -43,8 +43,8 @@
     fn withdraw(&mut self, s: SessId, setup: u8) {
         self.line(format_args!("sess {} withdraw {setup}", s.0));
     }
-    fn reply_busy(&mut self, s: SessId, back: Option<f64>) {
-        self.line(format_args!("sess {} busy, come back {back:?}", s.0));
+    fn reply_busy(&mut self, s: SessId, come_back: Option<f64>) {
+        self.line(format_args!("sess {} busy, come back {come_back:?}", s.0));
     }
     fn reply_failed(&mut self, s: SessId) {
         self.line(format_args!("sess {} fail", s.0));
@@ -76,7 +76,8 @@
     fn wake_after(&mut self, _: f64) {}
 }
 
-/// Two racks, six cells, a ladder of three; a node's link carries ten sessions at the middle rung.
+/// Terms with two racks, six cells and three rungs; the link of a node carries ten sessions at the middle
+/// rung.
 pub fn terms() -> Terms {
     Terms {
         me: 0,
@@ -118,12 +119,12 @@
     }
 }
 
-pub fn line(node: u32, phase: Phase, up_since: f64) -> ListedNode {
+pub fn listed_node(node: u32, phase: Phase, up_since: f64) -> ListedNode {
     ListedNode { node: NodeId(node), zone: 0, kind: 0, cell: node as u16, phase, size: 1.0, up_since }
 }
 
-/// A viewer of a title that lies on the first `cells` nodes.
-pub fn viewer(sess: u64, cells: u16) -> NewSession {
+/// A request for a title that the first `cells` nodes hold.
+pub fn new_session(sess: u64, cells: u16) -> NewSession {
     NewSession {
         sess: SessId(sess),
         group: GroupId(0),
@@ -135,18 +136,18 @@
     }
 }
 
-impl Desk {
-    pub fn with(director: Director, now: f64) -> Desk {
-        Desk { director, now, trace: Trace::default() }
+impl Harness {
+    pub fn with(director: Director, now: f64) -> Harness {
+        Harness { director, now, trace: Trace::default() }
     }
 
-    /// A director past its first doubts, at 100 s, with nodes 0 to 5 long up.
-    pub fn new(terms: &Terms) -> Desk {
-        let mut desk = Desk::with(Director::new(terms, 42, 90.0), 90.0);
-        let lines = (0..6).map(|n| line(n, Phase::Ready, 0.0)).collect();
-        desk.round(|r| r.list_changes.push(ListChange::Cached(lines)));
-        desk.run_to(100.0);
-        desk
+    /// A director at 100 s that no longer presumes nodes cold, with nodes 0 to 5 that started long ago.
+    pub fn new(terms: &Terms) -> Harness {
+        let mut harness = Harness::with(Director::new(terms, 42, 90.0), 90.0);
+        let nodes = (0..6).map(|n| listed_node(n, Phase::Ready, 0.0)).collect();
+        harness.round(|r| r.list_changes.push(ListChange::Cached(nodes)));
+        harness.run_to(100.0);
+        harness
     }
 
     pub fn round(&mut self, fill: impl FnOnce(&mut Round)) {
@@ -156,7 +157,7 @@
         self.director.round(self.now, &round, &mut self.trace);
     }
 
-    /// Lets time pass with nothing coming in.
+    /// Lets time pass without input.
     pub fn run_to(&mut self, until: f64) {
         while self.now < until - 0.05 {
             self.now += 0.1;
@@ -166,39 +167,39 @@
 
     pub fn hand_over(&mut self, sess: u64, node: u32, rung: u8) {
         self.round(|r| {
-            r.handed_over.push((viewer(sess, 6), NodeId(node)));
+            r.handed_over.push((new_session(sess, 6), NodeId(node)));
             r.measurements.push(Measurement::Rung { sess: SessId(sess), rung });
         });
     }
 
-    pub fn asks(&mut self, sess: u64, cells: u16) {
-        self.round(|r| r.new_sessions.push(viewer(sess, cells)));
+    pub fn request(&mut self, sess: u64, cells: u16) {
+        self.round(|r| r.new_sessions.push(new_session(sess, cells)));
     }
 
-    /// The SETUP of a session ended in that way, at the node it was sent to last.
-    pub fn ends(&mut self, sess: u64, outcome: SetupOutcome) {
-        let node = self.trace.sent.iter().rev().find(|s| s.0 == SessId(sess)).expect("was sent").1;
-        self.ends_at(sess, node.0, outcome, None);
+    /// Ends the last SETUP of a session with an outcome.
+    pub fn end_setup(&mut self, sess: u64, outcome: SetupOutcome) {
+        let node = self.trace.sent.iter().rev().find(|s| s.0 == SessId(sess)).expect("a SETUP was sent").1;
+        self.end_at(sess, node.0, outcome, None);
     }
 
-    pub fn ends_at(&mut self, sess: u64, node: u32, outcome: SetupOutcome, streams: Option<f64>) {
+    pub fn end_at(&mut self, sess: u64, node: u32, outcome: SetupOutcome, streams: Option<f64>) {
         let (sess, node) = (SessId(sess), NodeId(node));
         let load = LoadReport { streams, ..LoadReport::default() };
         self.round(|r| r.ended.push(Ended { sess, node, outcome, closed: false, load }));
     }
 
-    pub fn plays(&mut self, sess: u64) {
-        let node = self.trace.sent.iter().rev().find(|s| s.0 == SessId(sess)).expect("was sent").1;
+    pub fn start_playing(&mut self, sess: u64) {
+        let node = self.trace.sent.iter().rev().find(|s| s.0 == SessId(sess)).expect("a SETUP was sent").1;
         self.round(|r| r.playing.push(Playing { sess: SessId(sess), node, took: 0.1 }));
     }
 
-    pub fn full(&mut self, sess: u64, node: u32, asked: f64) {
+    pub fn measure_link(&mut self, sess: u64, node: u32, asked: f64) {
         self.round(|r| {
             r.measurements.push(Measurement::Link { sess: SessId(sess), node: NodeId(node), asked })
         });
     }
 
-    pub fn delivered(&mut self, node: u32, share: f64) {
+    pub fn measure_delivery(&mut self, node: u32, share: f64) {
         self.round(|r| r.measurements.push(Measurement::Delivered { node: NodeId(node), share }));
     }
 }
--- a/crates/kelpdoor/tests/traces.rs
+++ b/crates/kelpdoor/tests/traces.rs
@@ -1,20 +1,20 @@
-//! Short traces of decisions, each against one that was read by people.
+//! Traces of decisions in short scenarios, compared with reviewed ones.
 
 mod helper;
 
 use expect_test::{Expect, expect};
-use helper::{Desk, line, terms, viewer};
+use helper::{Harness, listed_node, new_session, terms};
 use kelpdoor::Director;
 use kelpdoor::ids::{NodeId, SessId};
 use kelpdoor::round::{Ended, ListChange, LoadReport, Measurement, Phase, Playing, SetupOutcome};
 use kelpdoor::terms::{FurtherBudget, GroupTerms, Reach, Repeat, Terms};
 
-fn check(desk: &Desk, kept: Expect) {
-    kept.assert_eq(&desk.trace.text);
+fn check(harness: &Harness, expected: Expect) {
+    expected.assert_eq(&harness.trace.text);
 }
 
-/// A session that played at node 0 and came to its end.
-fn played(sess: u64) -> Ended {
+/// The regular end of a session at node 0.
+fn served(sess: u64) -> Ended {
     let load = LoadReport::default();
     Ended { sess: SessId(sess), node: NodeId(0), outcome: SetupOutcome::Served, closed: true, load }
 }
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn starts_at_the_highest_rung_that_fits_then_lower_at_a_node_never_read() {
-    let mut desk = Desk::new(&terms());
+fn unmeasured_node_gets_highest_fitting_rung_then_lower() {
+    let mut harness = Harness::new(&terms());
     for sess in 1..=12 {
-        desk.asks(sess, 1);
+        harness.request(sess, 1);
     }
     check(
-        &desk,
+        &harness,
         expect![[r#"
             100.0 sess 1 rung 2
             100.0 sess 1 SETUP at 0, wait 0.45
@@ -63,20 +63,20 @@
 }
 
 #[test]
-fn viewers_of_a_live_title_share_its_stream_at_a_node_and_rung() {
-    let mut desk = Desk::new(&with_group(|g| g.join = 0.1));
-    desk.full(1, 0, 0.0);
+fn viewers_of_live_title_at_same_node_and_rung_share_stream() {
+    let mut harness = Harness::new(&with_group(|g| g.join = 0.1));
+    harness.measure_link(1, 0, 0.0);
     for sess in 1..=5 {
-        desk.asks(sess, 1);
-        desk.plays(sess);
+        harness.request(sess, 1);
+        harness.start_playing(sess);
     }
-    let full = |desk: &Desk| format!("{:.3}", desk.director.fullness(NodeId(0)).expect("known").0);
-    let shared = full(&desk);
-    (2..=4).for_each(|sess| desk.round(|r| r.ended.push(played(sess))));
-    let two = full(&desk);
-    desk.round(|r| r.ended.push(played(1)));
+    let full = |harness: &Harness| format!("{:.3}", harness.director.fullness(NodeId(0)).expect("known").0);
+    let shared = full(&harness);
+    (2..=4).for_each(|sess| harness.round(|r| r.ended.push(served(sess))));
+    let two = full(&harness);
+    harness.round(|r| r.ended.push(served(1)));
     check(
-        &desk,
+        &harness,
         expect![[r#"
         100.0 sess 1 rung 2
         100.0 sess 1 SETUP at 0, wait 0.45
@@ -91,20 +91,20 @@
     "#]],
     );
     expect!["0.350 with five, 0.275 with two, 0.250 with one"]
-        .assert_eq(&format!("{shared} with five, {two} with two, {} with one", full(&desk)));
+        .assert_eq(&format!("{shared} with five, {two} with two, {} with one", full(&harness)));
 }
 
 #[test]
-fn directors_that_share_nothing_place_a_live_titles_viewers_at_one_node() {
+fn independent_directors_place_live_title_on_same_node() {
     let spread = |join: f64| {
         let terms = with_group(|g| g.join = join);
         let places = (0..12).map(|seed| {
-            let mut desk = Desk::with(Director::new(&terms, seed, 90.0), 90.0);
-            let lines = (0..6).map(|n| line(n, Phase::Ready, 0.0)).collect();
-            desk.round(|r| r.list_changes.push(ListChange::Cached(lines)));
-            desk.run_to(100.0);
-            desk.asks(1, 6);
-            desk.trace.sent[0].1
+            let mut harness = Harness::with(Director::new(&terms, seed, 90.0), 90.0);
+            let nodes = (0..6).map(|n| listed_node(n, Phase::Ready, 0.0)).collect();
+            harness.round(|r| r.list_changes.push(ListChange::Cached(nodes)));
+            harness.run_to(100.0);
+            harness.request(1, 6);
+            harness.trace.sent[0].1
         });
         places.collect::<std::collections::BTreeSet<NodeId>>().len()
     };
@@ -112,29 +112,29 @@
 }
 
 #[test]
-fn a_link_is_filled_only_to_where_its_node_replies_busy() {
+fn busy_threshold_limits_link_fill() {
     let mut rungs = [0, 0];
     for (count, refuses_from) in rungs.iter_mut().zip([None, Some(0.4)]) {
-        let mut desk = Desk::new(&Terms { refuses_from, ..terms() });
-        desk.full(1, 0, 0.0);
-        (1..=4).for_each(|sess| desk.asks(sess, 1));
-        *count = desk.trace.text.matches("rung 2").count();
+        let mut harness = Harness::new(&Terms { refuses_from, ..terms() });
+        harness.measure_link(1, 0, 0.0);
+        (1..=4).for_each(|sess| harness.request(sess, 1));
+        *count = harness.trace.text.matches("rung 2").count();
     }
     assert_eq!(rungs, [3, 1], "of four sessions at the top rung");
 }
 
 #[test]
-fn a_shortage_is_answered_once() {
-    let mut desk = Desk::new(&terms());
+fn repeated_shortage_steps_down_once() {
+    let mut harness = Harness::new(&terms());
     for sess in 1..=4 {
-        desk.hand_over(sess, 0, 2);
+        harness.hand_over(sess, 0, 2);
     }
-    desk.full(1, 0, 1.3);
-    desk.run_to(100.3);
-    desk.delivered(0, 0.77);
-    desk.run_to(100.6);
+    harness.measure_link(1, 0, 1.3);
+    harness.run_to(100.3);
+    harness.measure_delivery(0, 0.77);
+    harness.run_to(100.6);
     check(
-        &desk,
+        &harness,
         expect![[r#"
         100.1 sess 1 rung 1
         100.1 sess 2 rung 1
@@ -145,14 +145,14 @@
 }
 
 #[test]
-fn rises_after_a_quiet_wait_when_room_is_read() {
-    let mut desk = Desk::new(&terms());
-    desk.hand_over(1, 0, 0);
-    desk.run_to(107.0);
-    desk.full(1, 0, 0.1);
-    desk.run_to(108.0);
+fn measured_room_raises_rung_after_wait() {
+    let mut harness = Harness::new(&terms());
+    harness.hand_over(1, 0, 0);
+    harness.run_to(107.0);
+    harness.measure_link(1, 0, 0.1);
+    harness.run_to(108.0);
     check(
-        &desk,
+        &harness,
         expect![[r#"
         107.1 sess 1 rung 2
     "#]],
@@ -160,22 +160,22 @@
 }
 
 #[test]
-fn a_rack_is_blamed_only_when_its_nodes_fall_short_together() {
-    // Cells 0, 2 and 4 share a rack. One node short alone is its own link: the others still take sessions.
-    let mut alone = Desk::new(&terms());
-    let mut together = Desk::new(&terms());
-    for desk in [&mut alone, &mut together] {
+fn uplink_counts_as_short_only_if_several_nodes_are_short() {
+    // Cells 0, 2 and 4 share a rack. A single short node is attributed to its own link.
+    let mut alone = Harness::new(&terms());
+    let mut together = Harness::new(&terms());
+    for harness in [&mut alone, &mut together] {
         for node in [0, 2, 4] {
             for k in 0..2 {
-                desk.hand_over(u64::from(10 * node + k), node, 2);
+                harness.hand_over(u64::from(10 * node + k), node, 2);
             }
-            desk.full(u64::from(10 * node), node, 0.5);
+            harness.measure_link(u64::from(10 * node), node, 0.5);
         }
-        desk.run_to(102.0);
+        harness.run_to(102.0);
     }
-    alone.delivered(0, 0.5);
+    alone.measure_delivery(0, 0.5);
     for node in [0, 2, 4] {
-        together.delivered(node, 0.5);
+        together.measure_delivery(node, 0.5);
     }
     alone.run_to(102.3);
     together.run_to(102.3);
@@ -201,13 +201,13 @@
 }
 
 #[test]
-fn seats_count_sessions_handed_over_and_setups_out() {
-    let mut desk = Desk::new(&with_group(|g| g.seats = 2));
-    desk.hand_over(1, 0, 0);
-    desk.asks(2, 6);
-    desk.asks(3, 6);
+fn handed_over_sessions_and_setups_in_flight_take_seats() {
+    let mut harness = Harness::new(&with_group(|g| g.seats = 2));
+    harness.hand_over(1, 0, 0);
+    harness.request(2, 6);
+    harness.request(3, 6);
     check(
-        &desk,
+        &harness,
         expect![[r#"
             100.0 sess 2 rung 2
             100.0 sess 2 SETUP at 3, wait 0.45
@@ -217,14 +217,14 @@
 }
 
 #[test]
-fn a_floor_is_never_gone_under() {
-    let mut desk = Desk::new(&with_group(|g| g.floor = 1));
-    desk.hand_over(1, 0, 1);
-    desk.full(1, 0, 3.0);
-    desk.run_to(101.0);
-    desk.asks(2, 1);
+fn overfull_link_keeps_sessions_at_floor() {
+    let mut harness = Harness::new(&with_group(|g| g.floor = 1));
+    harness.hand_over(1, 0, 1);
+    harness.measure_link(1, 0, 3.0);
+    harness.run_to(101.0);
+    harness.request(2, 1);
     check(
-        &desk,
+        &harness,
         expect![[r#"
         101.0 sess 2 busy, come back Some(1.0)
     "#]],
@@ -232,13 +232,13 @@
 }
 
 #[test]
-fn an_unsafe_group_is_sent_again_only_after_proof() {
-    let mut desk = Desk::new(&with_group(|g| g.repeat = Repeat::Never));
-    desk.asks(1, 6);
-    desk.ends(1, SetupOutcome::Unreachable);
-    desk.ends(1, SetupOutcome::TimedOut);
+fn unsafe_group_retries_only_if_setup_did_not_run() {
+    let mut harness = Harness::new(&with_group(|g| g.repeat = Repeat::Never));
+    harness.request(1, 6);
+    harness.end_setup(1, SetupOutcome::Unreachable);
+    harness.end_setup(1, SetupOutcome::TimedOut);
     check(
-        &desk,
+        &harness,
         expect![[r#"
             100.0 sess 1 rung 2
             100.0 sess 1 SETUP at 3, wait 0.45
@@ -250,12 +250,12 @@
 }
 
 #[test]
-fn a_keyed_group_stays_in_reach_of_its_first_node() {
-    let mut desk = Desk::new(&with_group(|g| g.repeat = Repeat::Within(Reach::Cell)));
-    desk.asks(1, 6);
-    desk.ends(1, SetupOutcome::ConnectionLost);
+fn keyed_group_retries_only_within_reach() {
+    let mut harness = Harness::new(&with_group(|g| g.repeat = Repeat::Within(Reach::Cell)));
+    harness.request(1, 6);
+    harness.end_setup(1, SetupOutcome::ConnectionLost);
     check(
-        &desk,
+        &harness,
         expect![[r#"
             100.0 sess 1 rung 2
             100.0 sess 1 SETUP at 3, wait 0.45
@@ -265,16 +265,16 @@
 }
 
 #[test]
-fn further_setups_stay_in_budget_from_a_fresh_start() {
+fn further_setups_after_start_stay_within_budget() {
     let mut terms = terms();
     terms.further = Some(FurtherBudget { free: 1.0, per_taken: 0.2, span: 10.0 });
-    let mut desk = Desk::new(&terms);
+    let mut harness = Harness::new(&terms);
     for sess in 1..=3 {
-        desk.asks(sess, 6);
-        desk.ends(sess, SetupOutcome::Failed);
+        harness.request(sess, 6);
+        harness.end_setup(sess, SetupOutcome::Failed);
     }
     check(
-        &desk,
+        &harness,
         expect![[r#"
             100.0 sess 1 rung 2
             100.0 sess 1 SETUP at 3, wait 0.45
@@ -291,46 +291,49 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_gone_node() {
-    let mut desk = Desk::new(&terms());
-    let lines = vec![line(0, Phase::Draining, 0.0), line(1, Phase::Gone, 0.0)];
-    desk.round(|r| {
-        r.list_changes.push(ListChange::Changed(lines));
-        r.new_sessions.push(viewer(1, 2));
+fn draining_or_gone_node_gets_no_session() {
+    let mut harness = Harness::new(&terms());
+    let nodes = vec![listed_node(0, Phase::Draining, 0.0), listed_node(1, Phase::Gone, 0.0)];
+    harness.round(|r| {
+        r.list_changes.push(ListChange::Changed(nodes));
+        r.new_sessions.push(new_session(1, 2));
     });
     check(
-        &desk,
+        &harness,
         expect![[r#"
         100.0 sess 1 busy, come back Some(1.0)
     "#]],
     );
 }
 
-/// SETUPs that three directors together send to node 0 in each second, while sessions pour in.
-fn burst(told: bool) -> Vec<usize> {
+/// The number of SETUPs that three directors together send to node 0 in each second under a steady flow of
+/// requests. The node restarts; with `listed`, the node list reports the restart.
+fn setups_per_second(listed: bool) -> Vec<usize> {
     let mut sent = vec![0; 12];
     for me in 0..3 {
         let mut terms = Terms { me, directors: 3, ..terms() };
         terms.groups[0].top = 0;
-        let mut desk = Desk::new(&terms);
-        if told {
-            desk.round(|r| r.list_changes.push(ListChange::Changed(vec![line(0, Phase::Ready, 99.9)])));
+        let mut harness = Harness::new(&terms);
+        if listed {
+            harness.round(|r| {
+                r.list_changes.push(ListChange::Changed(vec![listed_node(0, Phase::Ready, 99.9)]))
+            });
         } else {
-            desk.asks(1, 1);
-            desk.plays(1);
-            desk.ends(1, SetupOutcome::ConnectionLost);
+            harness.request(1, 1);
+            harness.start_playing(1);
+            harness.end_setup(1, SetupOutcome::ConnectionLost);
         }
         for sess in 10.. {
-            desk.run_to(desk.now + 0.1);
-            if desk.now >= 112.0 {
+            harness.run_to(harness.now + 0.1);
+            if harness.now >= 112.0 {
                 break;
             }
-            let before = desk.trace.sent.len();
-            desk.asks(sess, 1);
-            if desk.trace.sent.len() > before {
-                sent[(desk.now - 100.0) as usize] += 1;
-                desk.plays(sess);
-                desk.ends(sess, SetupOutcome::Served);
+            let before = harness.trace.sent.len();
+            harness.request(sess, 1);
+            if harness.trace.sent.len() > before {
+                sent[(harness.now - 100.0) as usize] += 1;
+                harness.start_playing(sess);
+                harness.end_setup(sess, SetupOutcome::Served);
             }
         }
     }
@@ -338,7 +341,7 @@
 }
 
 #[test]
-fn a_cold_node_gets_a_slow_rising_pace_from_all_directors_together() {
+fn cold_node_gets_slowly_rising_pace_from_all_directors() {
     // 24 places over 12 s at 0.4 to 1, times 3: 2.4 to 6 in any second.
     expect![[r#"
         [
@@ -356,11 +359,11 @@
             5,
         ]
     "#]]
-    .assert_debug_eq(&burst(true));
+    .assert_debug_eq(&setups_per_second(true));
 }
 
 #[test]
-fn a_restart_that_no_list_told_is_taken_for_cold() {
+fn unlisted_restart_counts_as_cold() {
     expect![[r#"
         [
             0,
@@ -377,27 +380,27 @@
             2,
         ]
     "#]]
-    .assert_debug_eq(&burst(false));
+    .assert_debug_eq(&setups_per_second(false));
 }
 
 #[test]
-fn one_silent_node_is_barred_but_a_silent_fleet_is_not() {
-    let mut one = Desk::new(&terms());
-    let mut all = Desk::new(&terms());
-    for desk in [&mut one, &mut all] {
+fn silent_node_is_ejected_but_silent_fleet_is_not() {
+    let mut one = Harness::new(&terms());
+    let mut all = Harness::new(&terms());
+    for harness in [&mut one, &mut all] {
         for node in 0..6 {
-            desk.hand_over(u64::from(node), node, 0);
+            harness.hand_over(u64::from(node), node, 0);
         }
     }
-    for (desk, then) in [(&mut one, 1..6), (&mut all, 0..0)] {
-        for (beat, speak) in [(103.0, 0..6), (106.0, then)] {
-            desk.run_to(beat);
-            speak.for_each(|node| desk.full(u64::from(node), node, 0.1));
+    for (harness, then) in [(&mut one, 1..6), (&mut all, 0..0)] {
+        for (beat, notifying) in [(103.0, 0..6), (106.0, then)] {
+            harness.run_to(beat);
+            notifying.for_each(|node| harness.measure_link(u64::from(node), node, 0.1));
         }
-        desk.run_to(107.0);
+        harness.run_to(107.0);
     }
-    one.asks(50, 1);
-    all.asks(50, 1);
+    one.request(50, 1);
+    all.request(50, 1);
     check(
         &one,
         expect![[r#"
@@ -426,16 +429,16 @@
 }
 
 #[test]
-fn a_last_bad_reading_does_not_lock_a_node_out() {
-    let mut desk = Desk::new(&terms());
-    desk.hand_over(1, 0, 0);
-    desk.full(1, 0, 1.8);
-    desk.ends_at(1, 0, SetupOutcome::Served, Some(40.0));
-    desk.asks(2, 1);
-    desk.run_to(150.0);
-    desk.asks(3, 1);
+fn bad_measurement_does_not_exclude_node_forever() {
+    let mut harness = Harness::new(&terms());
+    harness.hand_over(1, 0, 0);
+    harness.measure_link(1, 0, 1.8);
+    harness.end_at(1, 0, SetupOutcome::Served, Some(40.0));
+    harness.request(2, 1);
+    harness.run_to(150.0);
+    harness.request(3, 1);
     check(
-        &desk,
+        &harness,
         expect![[r#"
         100.0 sess 2 busy, come back Some(1.0)
         150.0 sess 3 rung 1
@@ -445,14 +448,15 @@
 }
 
 #[test]
-fn a_crowd_does_not_fill_a_link_on_one_reading() {
-    // Six directors may be sending here in the same moment, so each sends less than one alone would.
+fn more_directors_send_fewer_setups_per_measurement() {
+    // Other directors may send SETUPs to the node at the same time, so each sends fewer than a single one
+    // would.
     let setups = |directors| {
-        let mut desk = Desk::new(&Terms { directors, ..terms() });
-        desk.hand_over(1, 0, 0);
-        desk.full(1, 0, 0.3);
-        (2..20).for_each(|sess| desk.asks(sess, 1));
-        desk.trace.sent.len()
+        let mut harness = Harness::new(&Terms { directors, ..terms() });
+        harness.hand_over(1, 0, 0);
+        harness.measure_link(1, 0, 0.3);
+        (2..20).for_each(|sess| harness.request(sess, 1));
+        harness.trace.sent.len()
     };
     expect![[r#"
         [
@@ -465,17 +469,17 @@
 }
 
 #[test]
-fn a_node_that_turns_setups_away_is_shunned_for_longer_each_time() {
-    let mut desk = Desk::new(&terms());
+fn refusing_node_is_backed_off_for_longer_each_time() {
+    let mut harness = Harness::new(&terms());
     for sess in 1..=40 {
-        let before = desk.trace.sent.len();
-        desk.asks(sess, 1);
-        if desk.trace.sent.len() > before {
-            desk.ends(sess, SetupOutcome::Failed);
+        let before = harness.trace.sent.len();
+        harness.request(sess, 1);
+        if harness.trace.sent.len() > before {
+            harness.end_setup(sess, SetupOutcome::Failed);
         }
-        desk.run_to(desk.now + 0.5);
+        harness.run_to(harness.now + 0.5);
     }
-    let times = desk.trace.text.lines().filter(|l| l.contains("SETUP")).map(|l| &l[..5]);
+    let times = harness.trace.text.lines().filter(|l| l.contains("SETUP")).map(|l| &l[..5]);
     expect![[r#"
         "100.0 100.5 104.0 110.5"
     "#]]
@@ -483,53 +487,53 @@
 }
 
 #[test]
-fn a_lost_answer_bars_a_node_only_if_nothing_came_from_it_since() {
-    for speaks in [true, false] {
-        let mut desk = Desk::new(&terms());
-        desk.hand_over(9, 0, 0);
-        desk.asks(1, 1);
-        desk.run_to(100.3);
-        if speaks {
-            desk.full(9, 0, 0.3);
+fn lost_answer_ejects_node_only_if_it_was_silent_since() {
+    for notifies in [true, false] {
+        let mut harness = Harness::new(&terms());
+        harness.hand_over(9, 0, 0);
+        harness.request(1, 1);
+        harness.run_to(100.3);
+        if notifies {
+            harness.measure_link(9, 0, 0.3);
         }
-        desk.ends(1, SetupOutcome::TimedOut);
-        let sent = desk.trace.sent.len();
-        desk.run_to(100.5);
-        desk.asks(2, 1);
-        assert_eq!(desk.trace.sent.len() > sent, speaks, "{}", desk.trace.text);
+        harness.end_setup(1, SetupOutcome::TimedOut);
+        let sent = harness.trace.sent.len();
+        harness.run_to(100.5);
+        harness.request(2, 1);
+        assert_eq!(harness.trace.sent.len() > sent, notifies, "{}", harness.trace.text);
     }
 }
 
 #[test]
-fn a_request_that_no_node_can_use_shuns_none() {
-    let mut desk = Desk::new(&terms());
-    // Three nodes hold the title; the request errs at each, and the next ones go there all the same.
-    desk.asks(1, 3);
-    (0..3).for_each(|_| desk.ends(1, SetupOutcome::Failed));
-    assert_eq!(desk.trace.sent.len(), 3, "it is tried at each");
-    let sent = desk.trace.sent.len();
-    (11..=13).for_each(|sess| desk.asks(sess, 3));
-    assert_eq!(desk.trace.sent.len(), sent + 3, "{}", desk.trace.text);
-    // Its later errors are not even the first of two: node 0 errs once more and is still asked.
-    assert_ne!(desk.trace.sent[0].1, NodeId(0));
-    desk.asks(21, 1);
-    desk.ends(21, SetupOutcome::Failed);
-    desk.asks(22, 1);
-    let last = desk.trace.sent.last().map(|(sess, node)| (sess.0, node.0));
-    assert_eq!(last, Some((22, 0)), "{}", desk.trace.text);
-}
-
-#[test]
-fn a_link_that_gives_nothing_recovers() {
-    let mut desk = Desk::new(&terms());
-    desk.hand_over(1, 0, 0);
-    desk.full(1, 0, f64::INFINITY);
-    desk.delivered(0, 0.0);
-    desk.asks(2, 1);
-    desk.run_to(160.0);
-    desk.asks(3, 1);
+fn request_failing_everywhere_backs_off_no_node() {
+    let mut harness = Harness::new(&terms());
+    // Three nodes hold the title; the request fails at each, and later requests still go there.
+    harness.request(1, 3);
+    (0..3).for_each(|_| harness.end_setup(1, SetupOutcome::Failed));
+    assert_eq!(harness.trace.sent.len(), 3, "the request is sent to each node");
+    let sent = harness.trace.sent.len();
+    (11..=13).for_each(|sess| harness.request(sess, 3));
+    assert_eq!(harness.trace.sent.len(), sent + 3, "{}", harness.trace.text);
+    // Errors after the first SETUP of a session do not count: node 0 fails once more and still gets SETUPs.
+    assert_ne!(harness.trace.sent[0].1, NodeId(0));
+    harness.request(21, 1);
+    harness.end_setup(21, SetupOutcome::Failed);
+    harness.request(22, 1);
+    let last = harness.trace.sent.last().map(|(sess, node)| (sess.0, node.0));
+    assert_eq!(last, Some((22, 0)), "{}", harness.trace.text);
+}
+
+#[test]
+fn link_without_delivery_recovers() {
+    let mut harness = Harness::new(&terms());
+    harness.hand_over(1, 0, 0);
+    harness.measure_link(1, 0, f64::INFINITY);
+    harness.measure_delivery(0, 0.0);
+    harness.request(2, 1);
+    harness.run_to(160.0);
+    harness.request(3, 1);
     check(
-        &desk,
+        &harness,
         expect![[r#"
             100.0 sess 2 busy, come back Some(1.0)
             160.0 sess 3 rung 0
@@ -539,16 +543,16 @@
 }
 
 #[test]
-fn a_node_listed_again_with_its_old_start_is_not_cold() {
-    let mut desk = Desk::new(&terms());
+fn node_relisted_with_old_start_is_not_cold() {
+    let mut harness = Harness::new(&terms());
     for phase in [Phase::Gone, Phase::Ready] {
-        desk.round(|r| r.list_changes.push(ListChange::Changed(vec![line(0, phase, 50.0)])));
+        harness.round(|r| r.list_changes.push(ListChange::Changed(vec![listed_node(0, phase, 50.0)])));
     }
     for sess in 1..=3 {
-        desk.asks(sess, 1);
+        harness.request(sess, 1);
     }
     check(
-        &desk,
+        &harness,
         expect![[r#"
         100.0 sess 1 rung 2
         100.0 sess 1 SETUP at 0, wait 0.45
@@ -561,13 +565,13 @@
 }
 
 #[test]
-fn a_lost_setup_goes_elsewhere_and_calls_off_the_others_there() {
-    let mut desk = Desk::new(&terms());
-    desk.asks(1, 1);
-    desk.asks(2, 1);
-    desk.ends(1, SetupOutcome::TimedOut);
+fn timed_out_setup_withdraws_others_at_the_node() {
+    let mut harness = Harness::new(&terms());
+    harness.request(1, 1);
+    harness.request(2, 1);
+    harness.end_setup(1, SetupOutcome::TimedOut);
     check(
-        &desk,
+        &harness,
         expect![[r#"
         100.0 sess 1 rung 2
         100.0 sess 1 SETUP at 0, wait 0.45
@@ -580,20 +584,20 @@
 }
 
 #[test]
-fn a_node_that_keeps_stalling_loses_share() {
-    let mut desk = Desk::new(&terms());
+fn stalling_node_loses_share() {
+    let mut harness = Harness::new(&terms());
     for node in 0..6 {
-        desk.hand_over(u64::from(node), node, 1);
+        harness.hand_over(u64::from(node), node, 1);
     }
-    let mut shares = vec![desk.director.share(NodeId(3))];
+    let mut shares = vec![harness.director.share(NodeId(3))];
     for _ in 0..4 {
         for _ in 0..20 {
-            desk.run_to(desk.now + 1.0);
-            desk.delivered(3, 0.6);
+            harness.run_to(harness.now + 1.0);
+            harness.measure_delivery(3, 0.6);
         }
-        shares.push(desk.director.share(NodeId(3)));
+        shares.push(harness.director.share(NodeId(3)));
     }
-    let sum: f64 = (0..6).map(|n| desk.director.share(NodeId(n))).sum();
+    let sum: f64 = (0..6).map(|n| harness.director.share(NodeId(n))).sum();
     assert!((sum - 1000.0).abs() < 1e-6, "shares sum to {sum}");
     expect![[r#"
         [
@@ -608,33 +612,33 @@
 }
 
 #[test]
-fn shares_sum_to_1000_through_joins_and_losses() {
-    let mut desk = Desk::new(&terms());
-    let total = |desk: &Desk| (0..9).map(|n| desk.director.share(NodeId(n))).sum::<f64>().round();
-    let mut sums = vec![total(&desk)];
-    for lines in [
-        vec![line(2, Phase::Gone, 0.0)],
-        vec![line(6, Phase::Ready, 100.0), line(7, Phase::Ready, 100.0)],
-        vec![line(0, Phase::Gone, 0.0), line(1, Phase::Draining, 0.0)],
+fn list_changes_keep_share_sum_at_1000() {
+    let mut harness = Harness::new(&terms());
+    let total = |harness: &Harness| (0..9).map(|n| harness.director.share(NodeId(n))).sum::<f64>().round();
+    let mut sums = vec![total(&harness)];
+    for nodes in [
+        vec![listed_node(2, Phase::Gone, 0.0)],
+        vec![listed_node(6, Phase::Ready, 100.0), listed_node(7, Phase::Ready, 100.0)],
+        vec![listed_node(0, Phase::Gone, 0.0), listed_node(1, Phase::Draining, 0.0)],
     ] {
-        desk.round(|r| r.list_changes.push(ListChange::Changed(lines)));
-        sums.push(total(&desk));
+        harness.round(|r| r.list_changes.push(ListChange::Changed(nodes)));
+        sums.push(total(&harness));
     }
     assert_eq!(sums, [1000.0; 4]);
 }
 
 #[test]
-fn each_session_gets_one_answer_in_time_and_late_endings_are_passed_over() {
-    let mut desk = Desk::new(&terms());
-    desk.asks(1, 6);
-    desk.ends(1, SetupOutcome::Failed);
-    desk.ends(1, SetupOutcome::Failed);
-    desk.run_to(104.0);
-    desk.ends(1, SetupOutcome::TimedOut);
-    desk.ends(1, SetupOutcome::Failed);
-    desk.round(|r| r.departures.push(viewer(1, 6).sess));
+fn session_gets_one_answer_and_late_outcomes_are_ignored() {
+    let mut harness = Harness::new(&terms());
+    harness.request(1, 6);
+    harness.end_setup(1, SetupOutcome::Failed);
+    harness.end_setup(1, SetupOutcome::Failed);
+    harness.run_to(104.0);
+    harness.end_setup(1, SetupOutcome::TimedOut);
+    harness.end_setup(1, SetupOutcome::Failed);
+    harness.round(|r| r.departures.push(new_session(1, 6).sess));
     check(
-        &desk,
+        &harness,
         expect![[r#"
         100.0 sess 1 rung 2
         100.0 sess 1 SETUP at 3, wait 0.45
@@ -648,25 +652,26 @@
 }
 
 #[test]
-fn a_viewer_who_left_in_the_same_round_is_not_sent() {
-    let mut desk = Desk::new(&terms());
-    desk.round(|r| {
-        r.new_sessions.push(viewer(1, 6));
-        r.departures.push(viewer(1, 6).sess);
+fn viewer_leaving_in_same_round_gets_no_setup() {
+    let mut harness = Harness::new(&terms());
+    harness.round(|r| {
+        r.new_sessions.push(new_session(1, 6));
+        r.departures.push(new_session(1, 6).sess);
     });
-    check(&desk, expect![[""]]);
+    check(&harness, expect![[""]]);
 }
 
 #[test]
-fn a_restarted_director_keeps_a_node_listed_as_cold_to_its_slots() {
-    // Node 0 started 2 s before this director did, node 1 long ago; a third of a hundred directors restart.
+fn restarted_director_keeps_listed_cold_node_to_slots() {
+    // Node 0 started 2 s before this director, node 1 long ago; a third of a hundred directors restart.
     let first_round = |me| {
-        let mut desk = Desk::with(Director::new(&Terms { me, directors: 100, ..terms() }, 42, 100.0), 100.0);
-        let lines = vec![line(0, Phase::Ready, 98.0), line(1, Phase::Ready, 0.0)];
-        desk.round(|r| r.list_changes.push(ListChange::Cached(lines)));
-        desk.run_to(100.5);
-        (1..=4).for_each(|sess| desk.asks(sess, 2));
-        desk.trace.sent.iter().map(|sent| sent.1.0).collect::<Vec<_>>()
+        let mut harness =
+            Harness::with(Director::new(&Terms { me, directors: 100, ..terms() }, 42, 100.0), 100.0);
+        let nodes = vec![listed_node(0, Phase::Ready, 98.0), listed_node(1, Phase::Ready, 0.0)];
+        harness.round(|r| r.list_changes.push(ListChange::Cached(nodes)));
+        harness.run_to(100.5);
+        (1..=4).for_each(|sess| harness.request(sess, 2));
+        harness.trace.sent.iter().map(|sent| sent.1.0).collect::<Vec<_>>()
     };
     let sent: Vec<u32> = (0..33).flat_map(first_round).collect();
     let to = |node| sent.iter().filter(|&&n| n == node).count();
@@ -679,42 +684,43 @@
     .assert_debug_eq(&(to(0), to(1)));
 }
 
-/// Desks of as many directors as stated, each with one session of that rung on node 0, of all that is asked.
-fn alike(directors: u32, rung: u8, asked: f64) -> Vec<Desk> {
-    let desk = |me: u32| {
+/// Harnesses of `directors` directors, each with one session at `rung` on node 0, whose link is measured as
+/// `asked`.
+fn identical_directors(directors: u32, rung: u8, asked: f64) -> Vec<Harness> {
+    let harness = |me: u32| {
         let terms = Terms { me, directors, ..terms() };
-        let mut desk = Desk::with(Director::new(&terms, u64::from(me), 90.0), 100.0);
-        desk.round(|r| r.list_changes.push(ListChange::Cached(vec![line(0, Phase::Ready, 0.0)])));
-        desk.hand_over(1, 0, rung);
-        desk.run_to(108.0);
-        desk.full(1, 0, asked);
-        desk.run_to(110.6);
-        desk
+        let mut harness = Harness::with(Director::new(&terms, u64::from(me), 90.0), 100.0);
+        harness.round(|r| r.list_changes.push(ListChange::Cached(vec![listed_node(0, Phase::Ready, 0.0)])));
+        harness.hand_over(1, 0, rung);
+        harness.run_to(108.0);
+        harness.measure_link(1, 0, asked);
+        harness.run_to(110.6);
+        harness
     };
-    (0..directors).map(desk).collect()
+    (0..directors).map(harness).collect()
 }
 
-fn steps(desks: &[Desk], rung: u8) -> usize {
-    desks.iter().filter(|d| d.trace.text.contains(&format!("sess 1 rung {rung}"))).count()
+fn steps(harnesses: &[Harness], rung: u8) -> usize {
+    harnesses.iter().filter(|d| d.trace.text.contains(&format!("sess 1 rung {rung}"))).count()
 }
 
 #[test]
-fn many_directors_use_a_room_by_chance_and_not_each_whole() {
-    // Twelve sessions at the lowest rung ask 0.48 of the link: some rise, not all and not none.
-    let desks = alike(12, 0, 0.48);
+fn many_directors_share_room_at_random() {
+    // Twelve sessions at the lowest rung use 0.48 of the link: some of them rise, but not all.
+    let harnesses = identical_directors(12, 0, 0.48);
     expect![[r#"
         (
             5,
             0,
         )
     "#]]
-    .assert_debug_eq(&(steps(&desks, 1), steps(&desks, 2)));
+    .assert_debug_eq(&(steps(&harnesses, 1), steps(&harnesses, 2)));
 }
 
 #[test]
-fn steps_that_earn_least_yield_early_with_many_directors_only() {
-    // At 0.95 of the link: of forty directors some step down from the top rung, of three none.
-    let (many, few) = (alike(40, 2, 0.95), alike(3, 2, 0.95));
+fn low_utility_steps_go_down_early_only_with_many_directors() {
+    // At 0.95 of the link, some of forty directors step down from the top rung, and none of three.
+    let (many, few) = (identical_directors(40, 2, 0.95), identical_directors(3, 2, 0.95));
     expect![[r#"
         (
             11,
@@ -725,18 +731,18 @@
 }
 
 #[test]
-fn a_guess_is_no_ground_for_a_busy_reply() {
-    // All that this director reads is full; node 5 was never read, so it takes the lowest rung.
-    let mut desk = Desk::new(&Terms { directors: 200, ..terms() });
+fn unmeasured_node_gets_lowest_rung_instead_of_busy_reply() {
+    // All measured nodes are full; node 5 has no measurement, so the session starts there at the lowest rung.
+    let mut harness = Harness::new(&Terms { directors: 200, ..terms() });
     for node in 0..5 {
-        desk.hand_over(u64::from(node), node, 0);
+        harness.hand_over(u64::from(node), node, 0);
     }
     for _ in 0..10 {
-        (0..5).for_each(|node| desk.full(u64::from(node), node, 1.02));
+        (0..5).for_each(|node| harness.measure_link(u64::from(node), node, 1.02));
     }
-    desk.asks(9, 6);
+    harness.request(9, 6);
     check(
-        &desk,
+        &harness,
         expect![[r#"
         100.0 sess 9 rung 0
         100.0 sess 9 SETUP at 5, wait 0.45
@@ -745,20 +751,21 @@
 }
 
 #[test]
-fn after_a_pause_of_our_own_a_reading_at_a_setup_is_old() {
-    // The session plays and its node is read in one round; only without a pause before it is that of now.
+fn measurement_after_pause_counts_as_old() {
+    // The session plays and its node is measured in one round; without a pause before it, the measurement is
+    // current.
     let rises = |pause: f64| {
-        let mut desk = Desk::new(&Terms { directors: 200, ..terms() });
-        desk.asks(1, 1);
-        desk.now += pause;
-        let playing = Playing { sess: viewer(1, 1).sess, node: NodeId(0), took: 0.05 };
+        let mut harness = Harness::new(&Terms { directors: 200, ..terms() });
+        harness.request(1, 1);
+        harness.now += pause;
+        let playing = Playing { sess: new_session(1, 1).sess, node: NodeId(0), took: 0.05 };
         let read = Measurement::Link { sess: playing.sess, node: NodeId(0), asked: 0.15 };
-        desk.round(|r| {
+        harness.round(|r| {
             r.playing.push(playing);
             r.measurements.push(read);
         });
-        desk.run_to(desk.now + 0.6);
-        desk.trace.text
+        harness.run_to(harness.now + 0.6);
+        harness.trace.text
     };
     expect![[r#"
         [
@@ -770,15 +777,15 @@
 }
 
 #[test]
-fn shares_move_in_a_large_fleet() {
-    let mut desk = Desk::new(&terms());
-    let lines = (0..200).map(|n| line(n, Phase::Ready, 0.0)).collect();
-    desk.round(|r| r.list_changes.push(ListChange::Whole(lines)));
-    desk.hand_over(1, 3, 1);
-    let before = desk.director.share(NodeId(3));
+fn large_fleet_shares_move() {
+    let mut harness = Harness::new(&terms());
+    let nodes = (0..200).map(|n| listed_node(n, Phase::Ready, 0.0)).collect();
+    harness.round(|r| r.list_changes.push(ListChange::Whole(nodes)));
+    harness.hand_over(1, 3, 1);
+    let before = harness.director.share(NodeId(3));
     for _ in 0..40 {
-        desk.run_to(desk.now + 1.0);
-        desk.delivered(3, 0.6);
+        harness.run_to(harness.now + 1.0);
+        harness.measure_delivery(3, 0.6);
     }
     expect![[r#"
         [
@@ -786,11 +793,11 @@
             "1.94",
         ]
     "#]]
-    .assert_debug_eq(&[before, desk.director.share(NodeId(3))].map(|s| format!("{s:.2}")));
+    .assert_debug_eq(&[before, harness.director.share(NodeId(3))].map(|s| format!("{s:.2}")));
 }
 
-/// The most SETUPs that five directors together sent a node in a window, over what it bore then: over places and
-/// tip multiples, each at several starts within a slot.
+/// The highest number of SETUPs that five directors together send to a cold node in a window, over what the
+/// node bears at that time, for several start times within a slot.
 fn fullest_window(places: f64, cold_from: f64, tip_multiple: f64) -> f64 {
     let mut worst: f64 = 0.0;
     for start in 0..9 {
@@ -800,26 +807,28 @@
             let cold = Terms { cold_from, tip_multiple, places_by_kind: vec![places], ..terms() };
             let mut terms = Terms { me, directors: 5, warm_within: 10.0, ..cold };
             terms.groups[0].top = 0;
-            let mut desk = Desk::new(&terms);
-            desk.round(|r| r.list_changes.push(ListChange::Changed(vec![line(0, Phase::Ready, since)])));
+            let mut harness = Harness::new(&terms);
+            harness.round(|r| {
+                r.list_changes.push(ListChange::Changed(vec![listed_node(0, Phase::Ready, since)]))
+            });
             for sess in 10.. {
-                desk.run_to(desk.now + 0.1);
-                if desk.now >= since + 10.0 {
+                harness.run_to(harness.now + 0.1);
+                if harness.now >= since + 10.0 {
                     break;
                 }
-                let before = desk.trace.sent.len();
-                desk.asks(sess, 1);
-                if desk.trace.sent.len() > before {
-                    sent.push(desk.now);
-                    desk.plays(sess);
-                    desk.ends(sess, SetupOutcome::Served);
+                let before = harness.trace.sent.len();
+                harness.request(sess, 1);
+                if harness.trace.sent.len() > before {
+                    sent.push(harness.now);
+                    harness.start_playing(sess);
+                    harness.end_setup(sess, SetupOutcome::Served);
                 }
             }
         }
         for &t in &sent {
             let bears = tip_multiple * places / 10.0 * (cold_from + (1.0 - cold_from) * (t - since) / 10.0);
             let count = sent.iter().filter(|&&s| s <= t && s > t - 1.0).count() as f64;
-            // A lone SETUP never pushes a node over.
+            // A single SETUP never overloads a node.
             worst = worst.max(if count > 1.0 { count / bears } else { 0.0 });
         }
     }
@@ -827,7 +836,7 @@
 }
 
 #[test]
-fn slots_that_get_shorter_never_let_one_setup_too_many_into_a_window() {
+fn halving_slots_keep_every_window_within_budget() {
     let mut shown = String::new();
     for (places, cold_from, tip) in [
         (39.0, 0.1, 2.0),
