--- a/crates/kelpdoor-platform/src/changes.rs
+++ b/crates/kelpdoor-platform/src/changes.rs
@@ -1,5 +1,5 @@
-//! The change log: numbered events about the list of media nodes, told as server-sent events (HTML Living Standard,
-//! section 9.2), each a JSON object.
+//! The change log: numbered events about the list of media nodes, sent as server-sent events (HTML Living
+//! Standard, section 9.2) with a JSON object each.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,11 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Media nodes in one event at most; more than any fleet, so that a broken event costs no memory.
-const MOST_HOSTS: usize = 20_000;
+/// Maximum media nodes in one event: more than any fleet has, so that a broken event cannot exhaust the
+/// memory.
+const MAX_HOSTS: usize = 20_000;
 
-/// A line about one media node.
+/// The state of one media node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
     pub id: String,
@@ -20,34 +21,35 @@
     pub cell: u16,
     pub phase: Phase,
     pub size: f64,
-    /// s since 1970 of a late start; 0: long ago.
+    /// Time of a recent start in s since 1970; 0: long ago.
     pub up_since: f64,
 }
 
+/// One event of the change log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetChange {
     pub number: u64,
-    /// The hosts are all there are.
+    /// Whether `hosts` is the complete list and nodes that it lacks are gone.
     pub is_snapshot: bool,
     pub hosts: Vec<Host>,
 }
 
 #[derive(Deserialize)]
-struct Event {
+struct RawEvent {
     seq: u64,
-    fleet: Option<Fleet>,
+    fleet: Option<RawFleet>,
 }
 
 #[derive(Deserialize)]
-struct Fleet {
+struct RawFleet {
     #[serde(default)]
     whole: bool,
     #[serde(default)]
-    hosts: Vec<Line>,
+    hosts: Vec<RawHost>,
 }
 
 #[derive(Deserialize)]
-struct Line {
+struct RawHost {
     host: String,
     #[serde(default)]
     dial: String,
@@ -64,40 +66,40 @@
     born_ms: f64,
 }
 
-fn host(line: Line) -> Result<Host, String> {
-    let phase = match line.health.as_str() {
+fn parse_host(raw: RawHost) -> Result<Host, String> {
+    let phase = match raw.health.as_str() {
         "up" => Phase::Ready,
         "draining" => Phase::Draining,
         "removed" => Phase::Gone,
-        other => return Err(format!("{}: the state {other:?} is unknown", line.host)),
+        other => return Err(format!("{}: unknown health {other:?}", raw.host)),
     };
-    let address = match line.dial.parse() {
+    let address = match raw.dial.parse() {
         Ok(address) => address,
-        // A line that takes a node off needs no address.
+        // A removed node needs no address.
         Err(_) if phase == Phase::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
-        Err(_) => return Err(format!("{}: {:?} is no address and port", line.host, line.dial)),
+        Err(_) => return Err(format!("{}: {:?} is not an address with a port", raw.host, raw.dial)),
     };
     Ok(Host {
-        id: line.host,
+        id: raw.host,
         address,
-        zone: line.site,
-        kind: line.class,
-        cell: line.block,
+        zone: raw.site,
+        kind: raw.class,
+        cell: raw.block,
         phase,
-        size: if line.share.is_finite() { line.share } else { 0.0 },
-        up_since: line.born_ms.max(0.0) / 1000.0,
+        size: if raw.share.is_finite() { raw.share } else { 0.0 },
+        up_since: raw.born_ms.max(0.0) / 1000.0,
     })
 }
 
-fn change(event: Event) -> Result<FleetChange, String> {
+fn parse_change(event: RawEvent) -> Result<FleetChange, String> {
     let number = event.seq;
     let Some(fleet) = event.fleet else {
         return Ok(FleetChange { number, is_snapshot: false, hosts: Vec::new() });
     };
-    if fleet.hosts.len() > MOST_HOSTS {
-        return Err(format!("event {number} lists {} hosts", fleet.hosts.len()));
+    if fleet.hosts.len() > MAX_HOSTS {
+        return Err(format!("event {number} lists {} hosts, at most {MAX_HOSTS} allowed", fleet.hosts.len()));
     }
-    let hosts: Result<Vec<Host>, String> = fleet.hosts.into_iter().map(host).collect();
+    let hosts: Result<Vec<Host>, String> = fleet.hosts.into_iter().map(parse_host).collect();
     Ok(FleetChange {
         number,
         is_snapshot: fleet.whole,
@@ -105,23 +107,23 @@
     })
 }
 
-/// Reads one event's data.
+/// Parses the data of one event.
 ///
 /// # Errors
-/// What is wrong with it; the event counts as not told.
+/// What is wrong with it; no part of the event applies.
 pub fn parse_event(data: &str) -> Result<FleetChange, String> {
-    change(serde_json::from_str(data).map_err(|e| e.to_string())?)
+    parse_change(serde_json::from_str(data).map_err(|e| e.to_string())?)
 }
 
-/// Reads the events that the configuration holds, and the number of the last.
+/// Parses the events in the configuration, and the number of the last one.
 ///
 /// # Errors
-/// What is wrong, with the event's number where it has one.
+/// What is wrong, with the number of the event where it has one.
 pub fn parse_known_events(known: &Value) -> Result<(Vec<FleetChange>, u64), String> {
-    let last = known["seq"].as_u64().ok_or("no number under seq")?;
-    let events = known["results"].as_array().ok_or("no list under results")?;
+    let last = known["seq"].as_u64().ok_or("seq is not a number")?;
+    let events = known["results"].as_array().ok_or("results is not a list")?;
     let changes: Result<Vec<FleetChange>, String> =
-        events.iter().map(|e| change(Event::deserialize(e).map_err(|e| e.to_string())?)).collect();
+        events.iter().map(|e| parse_change(RawEvent::deserialize(e).map_err(|e| e.to_string())?)).collect();
     Ok((changes?, last))
 }
 
--- a/crates/kelpdoor-platform/src/media.rs
+++ b/crates/kelpdoor-platform/src/media.rs
@@ -1,5 +1,5 @@
-//! What is spoken with media nodes, RTSP/1.0 (RFC 2326) as the platform's pages cut it down: the table of what each
-//! message proves stands here and nowhere else.
+//! Messages exchanged with media nodes: RTSP/1.0 (RFC 2326), reduced to the subset that the platform defines.
+//! This module alone decides what each message of a node proves.
 
 use kelpdoor::ids::SessId;
 use kelpdoor::round::{Ending, LoadReport};
@@ -8,7 +8,7 @@
 
 use crate::viewer::{cause, format_session_id, parse_session_id};
 
-/// A note on a session that stands.
+/// A notification about an active session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeNotification {
     Delivered(f64),
@@ -17,22 +17,22 @@
     Uplink(f64),
 }
 
-/// What a media node says.
+/// A message from a media node.
 #[derive(Clone, Debug)]
 pub enum NodeMessage {
-    /// 200 to SETUP: the session stands. Its description, if it can be passed on.
+    /// 200 to SETUP: the session is active. `blob` is its description, or `None` if that is not UTF-8.
     SetupAccepted {
         sess: SessId,
         blob: Option<String>,
         load: LoadReport,
     },
-    /// A refusal of a SETUP, by what it proves.
+    /// A refusal of a SETUP, with the outcome that its status proves.
     SetupRefused {
         sess: SessId,
         outcome: Ending,
         load: LoadReport,
     },
-    /// The node released a session; `cseq` for the answer.
+    /// The node ended a session; `cseq` is for the response.
     SessionEnded {
         sess: SessId,
         cause: u32,
@@ -43,37 +43,39 @@
         sess: SessId,
         notification: NodeNotification,
     },
-    /// Wants nothing.
+    /// Needs no action.
     Ignored,
 }
 
-/// What a status to SETUP proves; `None` for 1xx and 200.
+/// Outcome that a status to SETUP proves; `None` for 1xx and 200.
 ///
-/// 504 says that the SETUP broke on its way, and it may have run. It comes from a process that lives, on a connection that
-/// stands, so it is no sign of a death: it counts as a SETUP of which nothing more will be heard.
+/// 504 means that the SETUP was lost on its way, and it may have run. It comes from a live process on an open
+/// connection, so it is no sign that the node died: it counts as a withdrawn SETUP, which gets no further
+/// answer.
 pub fn refusal_outcome(status: u16) -> Option<Ending> {
     match status {
         0..300 => None,
         453 => Some(Ending::BusyReplied),
         454 => Some(Ending::Moot),
         504 => Some(Ending::Withdrawn),
-        // 500 and whatever else is a refusal: an error, after which it may have run.
+        // 500 and any other refusal is an error, after which the SETUP may have run.
         _ => Some(Ending::Erred),
     }
 }
 
-/// How a session that stood ended, by the cause of its node's release. One that was cut tells of the node's death only where
-/// the process may have changed since the session was set up (`anew`): a process that lives can cut one session.
-pub fn teardown_outcome(why: u32, anew: bool) -> Ending {
-    match why {
+/// Outcome of an active session, from the cause in its node's TEARDOWN. A cut session is a sign of the node's
+/// death only if the process may have changed since the session was set up (`restarted`): a live process can
+/// cut a single session.
+pub fn teardown_outcome(cause: u32, restarted: bool) -> Ending {
+    match cause {
         cause::NORMAL_CLEARING => Ending::Served,
         cause::NORMAL_UNSPECIFIED => Ending::Withdrawn,
-        _ if anew => Ending::Broken,
+        _ if restarted => Ending::Broken,
         _ => Ending::Withdrawn,
     }
 }
 
-fn load(headers: &Headers, fields: &ReportFields) -> LoadReport {
+fn parse_load(headers: &Headers, fields: &ReportFields) -> LoadReport {
     let Some(text) = headers.get("X-Gauges") else { return LoadReport::default() };
     fields.by_name(|name| {
         let value = text.split(';').filter_map(|p| p.split_once(':')).find(|(n, _)| n.trim() == name)?.1;
@@ -81,7 +83,7 @@
     })
 }
 
-fn note(headers: &Headers) -> Option<NodeNotification> {
+fn parse_notification(headers: &Headers) -> Option<NodeNotification> {
     let value: f64 = headers.read("X-Reading").filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
     Some(match headers.get("X-Outcome")? {
         "fill" => NodeNotification::Delivered(value),
@@ -92,13 +94,13 @@
     })
 }
 
-/// Reads a message for what it says; one that names no session says nothing.
+/// Interprets a message; one without a valid session id is ignored.
 pub fn interpret(message: Message, fields: &ReportFields) -> NodeMessage {
     let (Message::Request(Request { headers, .. }) | Message::Response(Response { headers, .. })) = &message;
     let Some(sess) = headers.get("Session").and_then(|s| parse_session_id(s.trim())) else {
         return NodeMessage::Ignored;
     };
-    let load = load(headers, fields);
+    let load = parse_load(headers, fields);
     match message {
         Message::Response(r) if r.cseq == 1 => match refusal_outcome(r.status) {
             Some(outcome) => NodeMessage::SetupRefused { sess, outcome, load },
@@ -108,18 +110,18 @@
         Message::Response(_) => NodeMessage::Ignored,
         Message::Request(r) => match r.method {
             Method::Teardown => {
-                let given = r
+                let reason_cause = r
                     .headers
                     .get("Reason")
                     .and_then(|v| v.trim().strip_prefix("cause=")?.trim().parse().ok());
                 NodeMessage::SessionEnded {
                     sess,
-                    cause: given.unwrap_or(cause::TEMPORARY_FAILURE),
+                    cause: reason_cause.unwrap_or(cause::TEMPORARY_FAILURE),
                     cseq: r.cseq,
                     load,
                 }
             }
-            Method::Announce => note(&r.headers).map_or(NodeMessage::Ignored, |notification| {
+            Method::Announce => parse_notification(&r.headers).map_or(NodeMessage::Ignored, |notification| {
                 NodeMessage::Notification { sess, notification }
             }),
             _ => NodeMessage::Ignored,
@@ -127,7 +129,7 @@
     }
 }
 
-fn bytes(message: impl Into<Message>) -> Vec<u8> {
+fn encode(message: impl Into<Message>) -> Vec<u8> {
     let mut out = Vec::with_capacity(256);
     message.into().write_as(Version::V1, &mut out);
     out
@@ -138,7 +140,7 @@
         .with("Session", format_session_id(sess))
 }
 
-/// `wait` in seconds is how long the director waits for the answer.
+/// A SETUP; `wait` is the time in seconds that the director waits for the answer.
 pub fn setup(sess: SessId, key: &str, class: &str, wait: f64, rung: u8, blob: &str) -> Vec<u8> {
     let mut setup = Request::new(Method::Setup, format!("rtsp://media/{key}"), 1)
         .with("Session", format_session_id(sess))
@@ -146,27 +148,30 @@
         .with("X-Deadline", (wait * 1000.0).floor().max(1.0) as u64)
         .with("X-Quality", rung);
     setup.body = blob.as_bytes().to_vec();
-    bytes(setup)
+    encode(setup)
 }
 
+/// Cancels a SETUP that has not been answered.
 pub fn cancel_setup(sess: SessId) -> Vec<u8> {
-    bytes(request(Method::Teardown, sess, 2))
+    encode(request(Method::Teardown, sess, 2))
 }
 
-/// Cuts a session that stands.
-pub fn teardown(sess: SessId, why: u32) -> Vec<u8> {
-    bytes(request(Method::Teardown, sess, 2).with("Reason", format!("cause={why}")))
+/// Ends an active session, with a cause.
+pub fn teardown(sess: SessId, cause: u32) -> Vec<u8> {
+    encode(request(Method::Teardown, sess, 2).with("Reason", format!("cause={cause}")))
 }
 
+/// Sets the rung of an active session.
 pub fn set_rung(sess: SessId, rung: u8) -> Vec<u8> {
-    bytes(request(Method::SetParameter, sess, 4).with("X-Quality", rung))
+    encode(request(Method::SetParameter, sess, 4).with("X-Quality", rung))
 }
 
+/// Asks the node to end a session whose viewer is told to come back.
 pub fn redirect(sess: SessId) -> Vec<u8> {
-    bytes(request(Method::Redirect, sess, 5))
+    encode(request(Method::Redirect, sess, 5))
 }
 
-/// That a release was heard.
+/// Acknowledges a TEARDOWN.
 pub fn acknowledge(sess: SessId, cseq: u32) -> Vec<u8> {
-    bytes(Response::new(200, cseq).with("Session", format_session_id(sess)))
+    encode(Response::new(200, cseq).with("Session", format_session_id(sess)))
 }
--- a/crates/kelpdoor-platform/src/viewer.rs
+++ b/crates/kelpdoor-platform/src/viewer.rs
@@ -1,5 +1,6 @@
-//! What is spoken with viewers: one JSON object a line, with a type, an id, fields, and, where they belong, a cause and a
-//! description. Reading checks every figure, so that nothing past it needs to.
+//! Messages exchanged with viewers: one JSON object per line, with a type, a session id, fields, and, where
+//! they apply, a cause and a session description. Parsing validates every number, so that the rest of the
+//! program relies on it.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -7,50 +8,50 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// Bytes of a line at most, its line feed included.
+/// Maximum size of a line in bytes, including its line feed.
 pub const MAX_LINE: usize = 16 << 10;
-/// Bytes of a description at most: with its headers it has to fit a node's message.
-pub const MAX_BLOB: usize = 15 << 10;
-/// ms; no viewer waits longer.
-const MAX_LEFT: f64 = 600_000.0;
-/// Characters of a title or a node's name at most.
-const MAX_NAME: usize = 64;
-
-/// Causes (ITU-T Q.850, table 1).
+/// Maximum size of a description in bytes: with its headers it has to fit into a message to a node.
+pub const MAX_DESCRIPTION: usize = 15 << 10;
+/// Maximum time in ms that a viewer waits.
+const MAX_WAIT_MS: f64 = 600_000.0;
+/// Maximum length of a title or a node's name in characters.
+const MAX_NAME_LENGTH: usize = 64;
+
+/// Cause values (ITU-T Q.850, table 1).
 pub mod cause {
-    /// Normal clearing: a set-up given up, a session at its end.
+    /// A set-up was cancelled, or a session ended normally.
     pub const NORMAL_CLEARING: u32 = 16;
-    /// A session was moved, or ended by its viewer, who is owed no word of it.
+    /// A session was moved, or ended by its viewer, who gets no report of it.
     pub const NORMAL_UNSPECIFIED: u32 = 31;
-    /// The session was cut, or a set-up failed.
+    /// A session was cut, or a set-up failed.
     pub const TEMPORARY_FAILURE: u32 = 41;
-    /// Refused: trying again is harmless.
+    /// A set-up was refused without effect; it is safe to retry.
     pub const CONGESTION: u32 = 42;
-    /// What the message holds cannot be used.
+    /// The message has invalid contents.
     pub const INVALID_CONTENTS: u32 = 100;
-    /// The message cannot be read.
+    /// The message cannot be parsed.
     pub const PROTOCOL_ERROR: u32 = 111;
 }
 
-/// A set-up as a viewer sent it.
+/// A set-up request of a viewer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetupRequest {
     pub class: String,
-    /// s; how long the viewer waits, from when it sent the set-up.
+    /// s; how long the viewer waits, from when it sent the request.
     pub time_left: f64,
-    /// The title as it was sent, and as the decisions know it.
+    /// The title as it was sent, and the id that the session logic uses for it.
     pub key: String,
     pub title: TitleId,
     pub first_cell: u16,
     pub cells: u16,
     pub best_rung: u8,
-    /// The media node at which it plays already.
+    /// The media node on which the session is already active, for a session that is handed over.
     pub at: Option<String>,
     pub blob: String,
 }
 
 impl SetupRequest {
-    /// Whether another is the same set-up once more: it has less time left by then, and may carry other marks.
+    /// Whether `other` repeats this request. A repeated request has less time left and may carry other marks.
     pub fn is_same_setup(&self, other: &SetupRequest) -> bool {
         (&self.class, &self.key, &self.blob) == (&other.class, &other.key, &other.blob)
     }
@@ -59,14 +60,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ViewerMessage {
     Start(SessId, Box<SetupRequest>),
-    /// Gives up a set-up, or releases a session that stands.
+    /// Cancels a set-up, or ends an active session.
     Finish(SessId),
+    /// Asks for a [`Reply::Echoed`].
     Echo(SessId),
-    /// Wants nothing: progress, notes, or the like.
+    /// Needs no action: progress, notices and the like.
     Ignored,
 }
 
-/// A line that is no message, and the id it names, if that can be read.
+/// An invalid line, and the session id that it names, if that can be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MessageError {
     pub sess: Option<SessId>,
@@ -75,7 +77,7 @@
 }
 
 #[derive(Deserialize)]
-struct Line {
+struct RawMessage {
     verb: String,
     tag: String,
     #[serde(default)]
@@ -86,17 +88,19 @@
     blob: Option<String>,
 }
 
-/// The id in 16 lower-case hexadecimal digits; any other form is no id, as it could not be sent back unchanged.
+/// Parses a session id of 16 lower-case hexadecimal digits. Other forms are rejected, as they could not be
+/// sent back unchanged.
 pub fn parse_session_id(tag: &str) -> Option<SessId> {
     let digits = tag.len() == 16 && tag.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
     digits.then(|| u64::from_str_radix(tag, 16).ok().map(SessId)).flatten()
 }
 
+/// Formats a session id as [`parse_session_id`] expects it.
 pub fn format_session_id(sess: SessId) -> String {
     format!("{:016x}", sess.0)
 }
 
-fn number(value: &Value) -> Option<f64> {
+fn parse_number(value: &Value) -> Option<f64> {
     let n = match value {
         Value::Number(n) => n.as_f64(),
         Value::String(s) => s.parse().ok(),
@@ -105,101 +109,107 @@
     n.filter(|n| n.is_finite())
 }
 
-fn whole(text: &str, most: u16) -> Option<u16> {
-    text.parse().ok().filter(|&n| n <= most)
+fn parse_bounded(text: &str, max: u16) -> Option<u16> {
+    text.parse().ok().filter(|&n| n <= max)
 }
 
-/// A title's number for the decisions: of its text, so that no table of titles is kept.
-fn number_of(title: &str) -> TitleId {
+/// Hash of a title, so that no table of titles is needed.
+fn hash_title(title: &str) -> TitleId {
     let mut hasher = DefaultHasher::new();
     title.hash(&mut hasher);
     TitleId(hasher.finish())
 }
 
-fn name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     !text.is_empty()
-        && text.len() <= MAX_NAME
+        && text.len() <= MAX_NAME_LENGTH
         && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
 }
 
-fn ask(opts: &Map<String, Value>, blob: Option<String>) -> Result<SetupRequest, String> {
+fn parse_setup(opts: &Map<String, Value>, blob: Option<String>) -> Result<SetupRequest, String> {
     let text = |key: &str| opts.get(key).and_then(Value::as_str);
-    let class = text("class").ok_or("no class")?.to_owned();
-    let left = opts.get("left").and_then(number).ok_or("left is no number")?;
-    let key = text("key").filter(|k| name(k)).ok_or("key is no title")?.to_owned();
+    let class = text("class").ok_or("missing class")?.to_owned();
+    let time_left_ms = opts.get("left").and_then(parse_number).ok_or("left is not a number")?;
+    let key = text("key").filter(|k| is_valid_name(k)).ok_or("key is not a valid title")?.to_owned();
     let (mut first_cell, mut cells, mut best_rung, mut at) = (None, None, None, None);
     for pair in text("extras").unwrap_or("").split(';').filter(|p| !p.is_empty()) {
-        let (key, value) = pair.split_once(':').ok_or_else(|| format!("extras: {pair:?} is no pair"))?;
+        let (key, value) =
+            pair.split_once(':').ok_or_else(|| format!("extras: {pair:?} is not a key:value pair"))?;
         match key {
-            "home" => first_cell = Some(whole(value, u16::MAX).ok_or("extras: home is out of range")?),
-            "copies" => cells = Some(whole(value, u16::MAX).ok_or("extras: copies is out of range")?),
-            "top" => best_rung = Some(whole(value, 255).ok_or("extras: top is out of range")? as u8),
-            "at" => at = Some(value).filter(|v| name(v)).map(str::to_owned),
+            "home" => {
+                first_cell = Some(parse_bounded(value, u16::MAX).ok_or("extras: home is out of range")?)
+            }
+            "copies" => cells = Some(parse_bounded(value, u16::MAX).ok_or("extras: copies is out of range")?),
+            "top" => best_rung = Some(parse_bounded(value, 255).ok_or("extras: top is out of range")? as u8),
+            "at" => at = Some(value).filter(|v| is_valid_name(v)).map(str::to_owned),
             _ => {}
         }
     }
-    // A session that plays already waits for nothing.
-    if at.is_none() && (left <= 0.0 || left > MAX_LEFT) {
-        return Err(format!("left is {left:e}, above 0 and at most {MAX_LEFT} are possible"));
+    // A session that is already active waits for nothing.
+    if at.is_none() && (time_left_ms <= 0.0 || time_left_ms > MAX_WAIT_MS) {
+        return Err(format!("left is {time_left_ms:e}, must be above 0 and at most {MAX_WAIT_MS}"));
     }
-    let blob = blob.ok_or("no description")?;
-    if blob.len() > MAX_BLOB {
-        return Err(format!("a description of {} bytes, {MAX_BLOB} at most", blob.len()));
+    let blob = blob.ok_or("missing description")?;
+    if blob.len() > MAX_DESCRIPTION {
+        return Err(format!("description of {} bytes, at most {MAX_DESCRIPTION} allowed", blob.len()));
     }
     Ok(SetupRequest {
         class,
-        time_left: left / 1000.0,
-        title: number_of(&key),
+        time_left: time_left_ms / 1000.0,
+        title: hash_title(&key),
         key,
-        first_cell: first_cell.ok_or("extras: no home")?,
-        cells: cells.ok_or("extras: no copies")?,
-        best_rung: best_rung.ok_or("extras: no top")?,
+        first_cell: first_cell.ok_or("extras: missing home")?,
+        cells: cells.ok_or("extras: missing copies")?,
+        best_rung: best_rung.ok_or("extras: missing top")?,
         at,
         blob,
     })
 }
 
-/// Reads one line without its line feed.
+/// Parses one line without its line feed.
 ///
 /// # Errors
-/// What is wrong with it, and whose it is.
+/// What is wrong with the line, and the session that it belongs to.
 pub fn parse(line: &[u8]) -> Result<ViewerMessage, MessageError> {
-    let unreadable = |why: String| MessageError { sess: None, cause: cause::PROTOCOL_ERROR, why };
-    let line: Line = serde_json::from_slice(line).map_err(|e| unreadable(e.to_string()))?;
-    let sess =
-        parse_session_id(&line.tag).ok_or_else(|| unreadable(format!("{:.20?} is no id", line.tag)))?;
-    let bad = |why: String| MessageError { sess: Some(sess), cause: cause::INVALID_CONTENTS, why };
+    let protocol_error = |why: String| MessageError { sess: None, cause: cause::PROTOCOL_ERROR, why };
+    let line: RawMessage = serde_json::from_slice(line).map_err(|e| protocol_error(e.to_string()))?;
+    let sess = parse_session_id(&line.tag)
+        .ok_or_else(|| protocol_error(format!("{:.20?} is not a session id", line.tag)))?;
+    let invalid_contents =
+        |why: String| MessageError { sess: Some(sess), cause: cause::INVALID_CONTENTS, why };
     match line.verb.as_str() {
-        "START" => ask(&line.opts, line.blob).map(|a| ViewerMessage::Start(sess, Box::new(a))).map_err(bad),
-        "FINISH" => match line.rc.as_ref().and_then(number) {
+        "START" => parse_setup(&line.opts, line.blob)
+            .map(|a| ViewerMessage::Start(sess, Box::new(a)))
+            .map_err(invalid_contents),
+        "FINISH" => match line.rc.as_ref().and_then(parse_number) {
             Some(_) => Ok(ViewerMessage::Finish(sess)),
-            None => Err(bad("no cause".into())),
+            None => Err(invalid_contents("missing cause".into())),
         },
         "ECHO" => Ok(ViewerMessage::Echo(sess)),
         "PENDING" | "FINISHED" | "ECHOED" | "NOTICE" => Ok(ViewerMessage::Ignored),
-        other => Err(bad(format!("{other:.20?} is nothing that a viewer sends"))),
+        other => Err(invalid_contents(format!("{other:.20?} is not a viewer message"))),
     }
 }
 
-/// What a director sends.
+/// A message to a viewer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply<'a> {
-    /// The session stands; the description as the node gave it.
+    /// The session is active, with the description from its node.
     Started(&'a str),
-    /// Refused, failed or over, by its cause; `wait` in seconds where the viewer may come back.
-    Finish {
-        cause: u32,
-        wait: Option<f64>,
-    },
+    /// The request was refused or failed, or the session ended, as `cause` tells; the viewer may come back
+    /// after `wait` seconds.
+    Finish { cause: u32, wait: Option<f64> },
+    /// Answers an echo request.
     Echoed,
+    /// The viewer has to request its session again.
     Move,
 }
 
 #[derive(Serialize)]
-struct Written<'a> {
+struct OutgoingMessage<'a> {
     verb: &'static str,
     tag: String,
-    opts: Opts,
+    opts: OutgoingOptions,
     #[serde(skip_serializing_if = "Option::is_none")]
     rc: Option<u32>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -207,12 +217,12 @@
 }
 
 #[derive(Serialize)]
-struct Opts {
+struct OutgoingOptions {
     #[serde(skip_serializing_if = "Option::is_none")]
     wait: Option<u64>,
 }
 
-/// One line, its line feed included.
+/// Encodes one line, including its line feed. Without a session the id is all zeros.
 pub fn encode(sess: Option<SessId>, reply: Reply) -> Vec<u8> {
     let (verb, rc, blob, wait) = match reply {
         Reply::Started(blob) => ("STARTED", None, Some(blob), None),
@@ -222,7 +232,7 @@
     };
     let wait = wait.map(|s| (s * 1000.0).round().max(0.0) as u64);
     let tag = sess.map_or_else(|| "0".repeat(16), format_session_id);
-    let line = Written { verb, tag, opts: Opts { wait }, rc, blob };
+    let line = OutgoingMessage { verb, tag, opts: OutgoingOptions { wait }, rc, blob };
     let mut bytes = serde_json::to_vec(&line).unwrap_or_default();
     bytes.push(b'\n');
     bytes
--- a/crates/kelpdoor-platform/tests/codecs.rs
+++ b/crates/kelpdoor-platform/tests/codecs.rs
@@ -33,7 +33,7 @@
         good.replace("7f3a9c21e0b4d655", "a b\\r\\nX: y"),
         good.replace("\"blob\"", "\"blab\""),
         good.replace("START", "RESTART"),
-        good.replace("v=0", &"v".repeat(viewer::MAX_BLOB)),
+        good.replace("v=0", &"v".repeat(viewer::MAX_DESCRIPTION)),
         good[..60].to_owned(),
         "[]".into(),
         "\u{0}".into(),
@@ -53,21 +53,21 @@
         Finish(SessId(5))
         Echo(SessId(5))
         Ignored
-        100 Some(5): left is no number
-        100 Some(5): left is -1e0, above 0 and at most 600000 are possible
-        100 Some(5): left is 1e300, above 0 and at most 600000 are possible
-        100 Some(5): left is no number
-        111 None: "5" is no id
-        111 None: "000000000000000G" is no id
+        100 Some(5): left is not a number
+        100 Some(5): left is -1e0, must be above 0 and at most 600000
+        100 Some(5): left is 1e300, must be above 0 and at most 600000
+        100 Some(5): left is not a number
+        111 None: "5" is not a session id
+        111 None: "000000000000000G" is not a session id
         100 Some(5): extras: home is out of range
         100 Some(5): extras: top is out of range
-        100 Some(5): extras: no copies
-        100 Some(5): key is no title
-        100 Some(5): no description
-        100 Some(5): "RESTART" is nothing that a viewer sends
-        100 Some(5): a description of 15362 bytes, 15360 at most
+        100 Some(5): extras: missing copies
+        100 Some(5): key is not a valid title
+        100 Some(5): missing description
+        100 Some(5): "RESTART" is not a viewer message
+        100 Some(5): description of 15362 bytes, at most 15360 allowed
         111 None: EOF while parsing a string at line 1 column 60
-        111 None: invalid length 0, expected struct Line with 5 elements at line 1 column 2
+        111 None: invalid length 0, expected struct RawMessage with 5 elements at line 1 column 2
         111 None: expected value at line 1 column 1"#]]
     .assert_eq(&lines.iter().map(show).collect::<Vec<_>>().join("\n"));
 }
@@ -185,13 +185,13 @@
     std::fs::remove_dir_all(&dir).expect("removed");
     expect![[r#"
         n3 8c1f30d27a5be964
-        listen: "nowhere" is no address and port
-        seed: "xyz" is no hexadecimal number of 64 bits
-        limits.sockets: null is no number of at least 64
-        changelog: "5" is no address and port
-        known: no list under results
+        listen: "nowhere" is not an address with a port
+        seed: "xyz" is not a 64-bit hexadecimal number
+        limits.sockets: null is not a number of at least 64
+        changelog: "5" is not an address with a port
+        known: results is not a list
         settings: specifics.ratesKb: no ladder of rates above 0
-        PROXY_NAME: not set, and no name
+        PROXY_NAME: not set, and the file has no name
         PROXY_CONFIG: FILE: not a JSON object
         PROXY_CONFIG: not set"#]]
     .assert_eq(&told.join("\n"));
