--- a/crates/kelpdoor-platform/src/lib.rs
+++ b/crates/kelpdoor-platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! The director on the users' platform: JSON lines with viewers, RTSP/1.0 with media nodes, server-sent events from the
-//! change log, round the same [`kelpdoor::Director`] that every other route drives.
+//! A director on the users' platform: JSON lines with viewers, RTSP/1.0 with media nodes and server-sent
+//! events from the change log, around the same [`kelpdoor::Director`] that the other entry points drive.
 //!
-//! [`SessionCore`] is the core without I/O; [`run`] owns sockets, timers and signals round it and has no rule of its own.
-//! `docs/platform.md` tells operators how it behaves.
+//! [`SessionCore`] is the core without I/O; [`run`] owns the sockets, timers and signals around it and makes
+//! no decisions. `docs/platform.md` describes the operation.
 
 pub mod changes;
 pub mod core;
--- a/crates/kelpdoor-platform/src/shell.rs
+++ b/crates/kelpdoor-platform/src/shell.rs
@@ -1,5 +1,6 @@
-//! The shell: sockets, timers and signals round an [`Exchange`], on one thread. It stamps what comes in, calls the exchange
-//! once a batch, and carries out what that says, in its order: what is written to a socket that takes it is written at once.
+//! The shell: sockets, timers and signals around a [`SessionCore`], on one thread. It timestamps inputs, runs
+//! the core once per batch, and carries out the effects in order. Output is written at once as far as the
+//! socket takes it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -30,114 +31,123 @@
 use crate::startup::StartupConfig;
 use crate::viewer::{self, MAX_LINE};
 
-/// Inputs waiting for the exchange at most, of 16 KiB each; readers wait beyond it, and so do their peers.
-const INPUTS: usize = 256;
-/// Inputs taken into one round at most, and of the memory for what they hold: who sends hundreds of set-ups and takes them
-/// back at once has none of them sent on.
-const BATCH: usize = 1024;
-const BATCH_PART: usize = 16;
-/// Read from one socket at a time, so that a peer at full speed leaves room for others.
-const READ: usize = 8 << 10;
-/// Bytes that wait for a peer that does not read; beyond it, it is cut off.
-const PENDING: usize = 128 << 10;
-/// An answer before a close gets so long to be read, or the close would reset the connection and lose it.
-const LINGER: Duration = Duration::from_millis(1000);
-/// Connections that linger at a time; more are cut at once.
-const LINGERING: usize = 12;
-/// Connections accepted beyond those that are held, so that a newcomer can take another's place.
-const NEWCOMERS: usize = 4;
-/// How long a newcomer beyond that waits before it is looked at again.
-const CROWDED: Duration = Duration::from_millis(2);
-/// A wait after the system refused a new connection, as for want of descriptors.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
-/// The change log sends something each second: one that is silent for longer is asked anew.
-const FEED_SILENCE: Duration = Duration::from_millis(1600);
-const FEED_CONNECT: Duration = Duration::from_millis(700);
-/// Wait before the change log is asked again, at first and at most.
-const FEED_WAIT: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(500));
-/// Bytes of the change log without an event in them at most.
-const FEED_EVENT: usize = 8 << 20;
-/// After the signal to end, set-ups are served for so long yet: what comes later has to be answered before the process is
-/// killed, so it is refused at once. Once none came for a while and none is open or in line, viewers' connections are closed,
-/// and what crosses that and is sent again, which takes a viewer 50 ms at most, is refused; then the process ends. After a
-/// longer while it does so even if set-ups keep coming. Ends that no connection is open for are not waited for: viewers open
-/// none any more by then, while sessions go on ending.
-const LAST_SETUPS: Duration = Duration::from_millis(700);
-const LAST_QUIET: Duration = Duration::from_millis(150);
-const LAST_WORDS: Duration = Duration::from_millis(3000);
-/// Turns that readers get before a round, at least and at most: in the first what came is seen, in the second it is read;
-/// further ones while something comes.
-const LOOKS: (u32, u32) = (2, 16);
-/// Lines of the log a second at most.
-const LINES: u32 = 40;
-
-type Came = (Instant, Input);
-
-/// What waits for all peers together, and its bound.
+/// Maximum inputs queued for the core, of up to 16 KiB each. Beyond it the readers wait, which slows their
+/// peers down.
+const INPUT_QUEUE_LENGTH: usize = 256;
+/// Maximum inputs in one round. A viewer that sends hundreds of set-ups and cancels them at once has none of
+/// them forwarded.
+const MAX_BATCH: usize = 1024;
+/// The inputs of one round may take one part in this many of the memory.
+const BATCH_MEMORY_DIVISOR: usize = 16;
+/// Bytes read from a socket at a time, so that a peer at full speed leaves time for others.
+const READ_SIZE: usize = 8 << 10;
+/// Maximum unsent bytes per peer; a peer that does not read is cut off beyond it.
+const MAX_UNSENT_BYTES: usize = 128 << 10;
+/// Time that a peer gets to read its last answer before the connection is closed, as a close with unread
+/// input resets the connection and the answer is lost.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Maximum lingering connections; further ones close at once.
+const MAX_LINGERING: usize = 12;
+/// Connections accepted beyond the limit on viewers, so that a new one can replace an idle one.
+const ACCEPT_HEADROOM: usize = 4;
+/// Interval at which the accept loop checks for room beyond that.
+const ACCEPT_CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// Pause after a failed accept, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The change log sends something every second; a stream that is silent for longer is reopened.
+const FEED_IDLE_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Timeout for connecting to the change log.
+const FEED_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Initial backoff before the change log is requested again.
+const FEED_MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// Maximum backoff before the change log is requested again.
+const FEED_MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Maximum bytes of the change log without a complete event.
+const MAX_EVENT_BYTES: usize = 8 << 20;
+/// After a termination signal, set-ups are served for this long. Later ones are refused, as they have to be
+/// answered before the process is killed.
+const SHUTDOWN_SERVE_TIME: Duration = Duration::from_millis(700);
+/// Viewer connections are closed once no set-up arrived for this long and none is open or queued. What
+/// crosses the close is sent again, within 50 ms at most, and refused; after the same time again the process
+/// exits. Session ends that no viewer connection is open for are not waited for: viewers open none any more
+/// by then, while sessions go on ending.
+const SHUTDOWN_QUIET_TIME: Duration = Duration::from_millis(150);
+/// After this long, viewer connections are closed even if set-ups keep arriving.
+const SHUTDOWN_MAX_TIME: Duration = Duration::from_millis(3000);
+/// Minimum turns of the readers before a round: the first detects input, the second reads it.
+const MIN_READ_TURNS: u32 = 2;
+/// Maximum turns of the readers before a round, taken while input keeps arriving.
+const MAX_READ_TURNS: u32 = 16;
+/// Maximum log lines of the core per second.
+const MAX_LOG_LINES: u32 = 40;
+
+type TimedInput = (Instant, Input);
+
+/// Unsent bytes of all peers together, and their limit.
 #[derive(Clone)]
-struct Backlog {
+struct UnsentTotal {
     bytes: Rc<Cell<usize>>,
-    most: usize,
+    limit: usize,
 }
 
-/// Bytes on their way to a peer, and how its connection is to end.
-struct Pipe {
+/// The sending side of a connection: its unsent bytes, and how it is to be closed.
+struct ConnectionOutput {
     stream: RefCell<Option<Rc<TcpStream>>>,
-    pending: RefCell<Vec<u8>>,
-    backlog: Backlog,
+    unsent: RefCell<Vec<u8>>,
+    unsent_total: UnsentTotal,
     closing: Cell<bool>,
-    cut: Cell<bool>,
+    aborted: Cell<bool>,
     notify: Notify,
 }
 
-impl Pipe {
-    fn new(stream: Option<Rc<TcpStream>>, backlog: Backlog) -> Rc<Self> {
-        Rc::new(Pipe {
+impl ConnectionOutput {
+    fn new(stream: Option<Rc<TcpStream>>, unsent_total: UnsentTotal) -> Rc<Self> {
+        Rc::new(ConnectionOutput {
             stream: RefCell::new(stream),
-            pending: RefCell::default(),
-            backlog,
+            unsent: RefCell::default(),
+            unsent_total,
             closing: Cell::new(false),
-            cut: Cell::new(false),
+            aborted: Cell::new(false),
             notify: Notify::new(),
         })
     }
 
-    /// Writes what the socket takes now; the rest waits, within its bound.
+    /// Writes what the socket takes now and keeps the rest, within the limits.
     fn write(&self, bytes: &[u8]) {
-        let mut pending = self.pending.borrow_mut();
+        let mut unsent = self.unsent.borrow_mut();
         let mut from = 0;
-        if pending.is_empty()
+        if unsent.is_empty()
             && let Some(stream) = &*self.stream.borrow()
         {
             from = stream.try_write(bytes).unwrap_or(0);
         }
         if from < bytes.len() {
-            let (rest, all) = (&bytes[from..], self.backlog.bytes.get());
-            if pending.len() + rest.len() > PENDING || all + rest.len() > self.backlog.most {
-                self.cut.set(true);
+            let (rest, all) = (&bytes[from..], self.unsent_total.bytes.get());
+            if unsent.len() + rest.len() > MAX_UNSENT_BYTES || all + rest.len() > self.unsent_total.limit {
+                self.aborted.set(true);
             } else {
-                pending.extend_from_slice(rest);
-                self.backlog.bytes.set(all + rest.len());
+                unsent.extend_from_slice(rest);
+                self.unsent_total.bytes.set(all + rest.len());
             }
             self.notify.notify_one();
         }
     }
 
-    /// Whether the connection still takes bytes.
+    /// Writes pending bytes; returns whether the connection is still usable.
     fn flush(&self, stream: &TcpStream) -> bool {
-        let mut pending = self.pending.borrow_mut();
-        match stream.try_write(&pending) {
+        let mut unsent = self.unsent.borrow_mut();
+        match stream.try_write(&unsent) {
             Ok(n) => {
-                used(&mut pending, n);
-                self.backlog.bytes.set(self.backlog.bytes.get() - n);
+                consume(&mut unsent, n);
+                self.unsent_total.bytes.set(self.unsent_total.bytes.get() - n);
                 true
             }
             Err(e) => e.kind() == io::ErrorKind::WouldBlock,
         }
     }
 
-    fn waits(&self) -> bool {
-        !self.pending.borrow().is_empty()
+    fn has_unsent(&self) -> bool {
+        !self.unsent.borrow().is_empty()
     }
 
     fn close(&self) {
@@ -145,12 +155,12 @@
         self.notify.notify_one();
     }
 
-    /// Ends the connection without what is still on its way.
+    /// Closes the connection and discards unsent bytes.
     fn abort(&self) {
         if let Some(stream) = &*self.stream.borrow() {
             let _ = stream.set_zero_linger();
         }
-        self.cut.set(true);
+        self.aborted.set(true);
         self.close();
     }
 
@@ -161,35 +171,35 @@
     }
 }
 
-impl Drop for Pipe {
+impl Drop for ConnectionOutput {
     fn drop(&mut self) {
-        self.backlog.bytes.set(self.backlog.bytes.get() - self.pending.borrow().len());
+        self.unsent_total.bytes.set(self.unsent_total.bytes.get() - self.unsent.borrow().len());
     }
 }
 
-enum Read {
-    Some,
-    Over,
-    Nothing,
+enum ReadResult {
+    Data,
+    Closed,
+    WouldBlock,
 }
 
-fn read(stream: &TcpStream, buf: &mut Vec<u8>) -> Read {
+fn read(stream: &TcpStream, buf: &mut Vec<u8>) -> ReadResult {
     thread_local! {
-        static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; READ]);
+        static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_SIZE]);
     }
     SCRATCH.with_borrow_mut(|scratch| match stream.try_read(scratch) {
-        Ok(0) => Read::Over,
+        Ok(0) => ReadResult::Closed,
         Ok(n) => {
             buf.extend_from_slice(&scratch[..n]);
-            Read::Some
+            ReadResult::Data
         }
-        Err(e) if e.kind() == io::ErrorKind::WouldBlock => Read::Nothing,
-        Err(_) => Read::Over,
+        Err(e) if e.kind() == io::ErrorKind::WouldBlock => ReadResult::WouldBlock,
+        Err(_) => ReadResult::Closed,
     })
 }
 
-/// Drops what was used, and the memory with it once nothing is left.
-fn used(buf: &mut Vec<u8>, n: usize) {
+/// Removes the first `n` bytes, and frees the memory once nothing is left.
+fn consume(buf: &mut Vec<u8>, n: usize) {
     if n == buf.len() {
         *buf = Vec::new();
     } else {
@@ -197,86 +207,90 @@
     }
 }
 
-/// What a connection's task waited for.
-enum Woken {
+/// The event that woke a connection's task.
+enum WakeReason {
     Readable,
     Writable,
-    Told,
+    Notified,
 }
 
-async fn woken(stream: &TcpStream, pipe: &Pipe) -> Woken {
+async fn wait_for_event(stream: &TcpStream, output: &ConnectionOutput) -> WakeReason {
     tokio::select! {
         biased;
-        () = pipe.notify.notified() => Woken::Told,
-        _ = stream.writable(), if pipe.waits() => Woken::Writable,
-        _ = stream.readable() => Woken::Readable,
+        () = output.notify.notified() => WakeReason::Notified,
+        _ = stream.writable(), if output.has_unsent() => WakeReason::Writable,
+        _ = stream.readable() => WakeReason::Readable,
     }
 }
 
-/// Serves one connection: `take` reads what is whole off the buffer and passes it on, and says whether to go on. With
-/// `to_its_end`, one that we close is read until the peer closes it too, for a while. Returns whether the end is the peer's.
-async fn serve<F>(stream: &TcpStream, pipe: &Pipe, to_its_end: bool, mut take: F) -> bool
+/// Serves one connection. `parse` removes complete messages from the buffer, passes them on, and returns
+/// whether to continue. With `read_to_end`, a connection that this side closes is read until the peer closes
+/// it too, for up to LINGER_TIMEOUT. Returns whether the peer ended the connection.
+async fn serve_connection<F>(
+    stream: &TcpStream, output: &ConnectionOutput, read_to_end: bool, mut parse: F,
+) -> bool
 where
     F: AsyncFnMut(&mut Vec<u8>) -> bool,
 {
     let mut buf = Vec::new();
-    let mut deaf = false;
+    let mut input_closed = false;
     loop {
-        if pipe.cut.get() {
+        if output.aborted.get() {
             return true;
         }
-        if pipe.closing.get() {
-            // A peer that does not read holds its connection for no longer.
-            let flushed =
-                async { while pipe.waits() && stream.writable().await.is_ok() && pipe.flush(stream) {} };
-            let _ = timeout(LINGER, flushed).await;
-            if to_its_end && !deaf && !pipe.waits() {
+        if output.closing.get() {
+            // Limits the time that a peer that does not read can hold its connection.
+            let flushed = async {
+                while output.has_unsent() && stream.writable().await.is_ok() && output.flush(stream) {}
+            };
+            let _ = timeout(LINGER_TIMEOUT, flushed).await;
+            if read_to_end && !input_closed && !output.has_unsent() {
                 let _ = socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write);
                 let rest = async {
-                    while stream.readable().await.is_ok() && !pipe.cut.get() {
+                    while stream.readable().await.is_ok() && !output.aborted.get() {
                         match read(stream, &mut buf) {
-                            Read::Some if !take(&mut buf).await => break,
-                            Read::Over => break,
-                            Read::Some | Read::Nothing => {}
+                            ReadResult::Data if !parse(&mut buf).await => break,
+                            ReadResult::Closed => break,
+                            ReadResult::Data | ReadResult::WouldBlock => {}
                         }
                     }
                 };
-                let _ = timeout(LINGER, rest).await;
+                let _ = timeout(LINGER_TIMEOUT, rest).await;
             }
             return false;
         }
-        let woken = if deaf {
+        let reason = if input_closed {
             tokio::select! {
-                () = pipe.notify.notified() => Woken::Told,
-                _ = stream.writable(), if pipe.waits() => Woken::Writable,
+                () = output.notify.notified() => WakeReason::Notified,
+                _ = stream.writable(), if output.has_unsent() => WakeReason::Writable,
             }
         } else {
-            woken(stream, pipe).await
+            wait_for_event(stream, output).await
         };
-        match woken {
-            Woken::Told => {}
-            Woken::Writable => {
-                if !pipe.flush(stream) {
+        match reason {
+            WakeReason::Notified => {}
+            WakeReason::Writable => {
+                if !output.flush(stream) {
                     return true;
                 }
             }
-            Woken::Readable => match read(stream, &mut buf) {
-                Read::Some => deaf = !take(&mut buf).await,
-                Read::Over => return true,
-                Read::Nothing => {}
+            WakeReason::Readable => match read(stream, &mut buf) {
+                ReadResult::Data => input_closed = !parse(&mut buf).await,
+                ReadResult::Closed => return true,
+                ReadResult::WouldBlock => {}
             },
         }
     }
 }
 
-/// Runs a connection's task; a fault in it costs that connection alone.
-async fn guarded(task: impl Future<Output = ()>) {
+/// Runs a connection's task; a panic in it closes that connection only.
+async fn catch_panic(task: impl Future<Output = ()>) {
     if AssertUnwindSafe(task).catch_unwind().await.is_err() {
-        tracing::error!("a connection's task failed; the connection is closed");
+        tracing::error!("connection task panicked; closing the connection");
     }
 }
 
-/// Lets the peer read the last words, passing over what it still sends.
+/// Lets the peer read its last answer, and discards what it still sends.
 async fn linger(stream: Rc<TcpStream>, lingering: Rc<Semaphore>) {
     let Ok(_held) = lingering.try_acquire() else { return };
     let socket = socket2::SockRef::from(&*stream);
@@ -285,49 +299,50 @@
         let mut buf = Vec::new();
         while stream.readable().await.is_ok() {
             buf.clear();
-            if matches!(read(&stream, &mut buf), Read::Over) {
+            if matches!(read(&stream, &mut buf), ReadResult::Closed) {
                 break;
             }
         }
     };
-    let _ = timeout(LINGER, drain).await;
+    let _ = timeout(LINGER_TIMEOUT, drain).await;
 }
 
-async fn viewer(
-    conn: u64, stream: Rc<TcpStream>, pipe: Rc<Pipe>, to: mpsc::Sender<Came>, lingering: Rc<Semaphore>,
+async fn run_viewer(
+    conn: u64, stream: Rc<TcpStream>, output: Rc<ConnectionOutput>, input_tx: mpsc::Sender<TimedInput>,
+    lingering: Rc<Semaphore>,
 ) {
-    let _ = to.send((Instant::now(), Input::ViewerConnected { conn })).await;
-    let lost = serve(&stream, &pipe, false, async |buf: &mut Vec<u8>| {
-        let came = Instant::now();
+    let _ = input_tx.send((Instant::now(), Input::ViewerConnected { conn })).await;
+    let peer_ended = serve_connection(&stream, &output, false, async |buf: &mut Vec<u8>| {
+        let arrived_at = Instant::now();
         let mut from = 0;
         while let Some(end) = buf[from..].iter().position(|&b| b == b'\n') {
             let line = &buf[from..from + end];
             from += end + 1;
             if end >= MAX_LINE {
-                let _ = to.send((came, Input::ViewerLineTooLong { conn })).await;
+                let _ = input_tx.send((arrived_at, Input::ViewerLineTooLong { conn })).await;
                 return false;
             }
             let message = viewer::parse(line);
-            if to.send((came, Input::ViewerMessage { conn, message })).await.is_err() {
+            if input_tx.send((arrived_at, Input::ViewerMessage { conn, message })).await.is_err() {
                 return false;
             }
         }
-        used(buf, from);
+        consume(buf, from);
         if buf.len() >= MAX_LINE {
             *buf = Vec::new();
-            let _ = to.send((came, Input::ViewerLineTooLong { conn })).await;
+            let _ = input_tx.send((arrived_at, Input::ViewerLineTooLong { conn })).await;
             return false;
         }
         true
     })
     .await;
-    if !lost {
+    if !peer_ended {
         linger(stream, lingering).await;
     }
 }
 
-/// What a connection that did not come up tells of its node.
-fn failed(e: Option<&io::Error>) -> ConnectFailure {
+/// What a failed connection attempt proves about the node.
+fn classify_connect_error(e: Option<&io::Error>) -> ConnectFailure {
     match e {
         Some(e) if e.kind() == io::ErrorKind::ConnectionRefused => ConnectFailure::Refused,
         Some(e)
@@ -342,96 +357,103 @@
     }
 }
 
-async fn link(link: u64, address: SocketAddr, wait: Duration, pipe: Rc<Pipe>, to: mpsc::Sender<Came>) {
+async fn run_link(
+    link: u64, address: SocketAddr, wait: Duration, output: Rc<ConnectionOutput>,
+    input_tx: mpsc::Sender<TimedInput>,
+) {
     let connected = tokio::select! {
         connected = timeout(wait, TcpStream::connect(address)) => connected,
-        () = pipe.closed() => return,
+        () = output.closed() => return,
     };
     let stream = match connected {
         Ok(Ok(stream)) => Rc::new(stream),
         other => {
             let e = other.ok().and_then(Result::err);
-            let silent = || format!("no connection within {} ms", wait.as_millis());
-            let why = e.as_ref().map_or_else(silent, io::Error::to_string);
-            let failed = Input::LinkFailed { link, failure: failed(e.as_ref()), why };
-            let _ = to.send((Instant::now(), failed)).await;
+            let timed_out = || format!("no connection within {} ms", wait.as_millis());
+            let why = e.as_ref().map_or_else(timed_out, io::Error::to_string);
+            let failed = Input::LinkFailed { link, failure: classify_connect_error(e.as_ref()), why };
+            let _ = input_tx.send((Instant::now(), failed)).await;
             return;
         }
     };
     let _ = stream.set_nodelay(true);
-    *pipe.stream.borrow_mut() = Some(stream.clone());
-    let _ = to.send((Instant::now(), Input::LinkConnected { link })).await;
-    serve(&stream, &pipe, true, async |buf: &mut Vec<u8>| {
-        let came = Instant::now();
+    *output.stream.borrow_mut() = Some(stream.clone());
+    let _ = input_tx.send((Instant::now(), Input::LinkConnected { link })).await;
+    serve_connection(&stream, &output, true, async |buf: &mut Vec<u8>| {
+        let arrived_at = Instant::now();
         let mut from = 0;
         loop {
             match parse_as(Version::V1, &buf[from..]) {
                 Ok(Some((message, len))) => {
                     from += len;
-                    if to.send((came, Input::NodeMessage { link, message })).await.is_err() {
+                    if input_tx.send((arrived_at, Input::NodeMessage { link, message })).await.is_err() {
                         return false;
                     }
                 }
                 Ok(None) => break,
                 Err(e) => {
                     *buf = Vec::new();
-                    let _ = to.send((came, Input::LinkCorrupted { link, why: e.to_string() })).await;
+                    let _ =
+                        input_tx.send((arrived_at, Input::LinkCorrupted { link, why: e.to_string() })).await;
                     return false;
                 }
             }
         }
-        used(buf, from);
+        consume(buf, from);
         true
     })
     .await;
 }
 
-async fn accept(
-    listener: TcpListener, most: usize, backlog: Backlog, pipes: Pipes, to: mpsc::Sender<Came>,
-    lingering: Rc<Semaphore>,
+async fn accept_viewers(
+    listener: TcpListener, limit: usize, unsent_total: UnsentTotal, outputs: ViewerOutputs,
+    input_tx: mpsc::Sender<TimedInput>, lingering: Rc<Semaphore>,
 ) {
     let mut conn = 0;
     loop {
-        while pipes.borrow().len() >= most + LINGERING + NEWCOMERS {
-            sleep(CROWDED).await;
+        while outputs.borrow().len() >= limit + MAX_LINGERING + ACCEPT_HEADROOM {
+            sleep(ACCEPT_CHECK_INTERVAL).await;
         }
         let stream = match listener.accept().await {
             Ok((stream, _)) => Rc::new(stream),
             Err(_) => {
-                sleep(ACCEPT_AGAIN).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let _ = stream.set_nodelay(true);
         conn += 1;
-        let pipe = Pipe::new(Some(stream.clone()), backlog.clone());
-        pipes.borrow_mut().insert(conn, pipe.clone());
-        let (pipes, to, lingering) = (pipes.clone(), to.clone(), lingering.clone());
+        let output = ConnectionOutput::new(Some(stream.clone()), unsent_total.clone());
+        outputs.borrow_mut().insert(conn, output.clone());
+        let (outputs, input_tx, lingering) = (outputs.clone(), input_tx.clone(), lingering.clone());
         spawn_local(async move {
-            guarded(viewer(conn, stream, pipe, to.clone(), lingering)).await;
-            pipes.borrow_mut().remove(&conn);
-            let _ = to.send((Instant::now(), Input::ViewerDisconnected { conn })).await;
+            catch_panic(run_viewer(conn, stream, output, input_tx.clone(), lingering)).await;
+            outputs.borrow_mut().remove(&conn);
+            let _ = input_tx.send((Instant::now(), Input::ViewerDisconnected { conn })).await;
         });
     }
 }
 
-/// Reads one stream of the change log until it ends, falls silent or cannot be read; says why.
-async fn listen(at: SocketAddr, last: &mut u64, failed: &mut Option<u64>, to: &mpsc::Sender<Came>) -> String {
-    let stream = match timeout(FEED_CONNECT, TcpStream::connect(at)).await {
+/// Reads one stream of the change log until it ends, falls silent or fails; returns the reason.
+async fn read_change_stream(
+    address: SocketAddr, last: &mut u64, unreadable: &mut Option<u64>, input_tx: &mpsc::Sender<TimedInput>,
+) -> String {
+    let stream = match timeout(FEED_CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => return e.to_string(),
-        Err(_) => return "no connection in time".into(),
-    };
-    let (mut sender, connection) = match hyper::client::conn::http1::handshake(TokioIo::new(stream)).await {
-        Ok(both) => both,
-        Err(e) => return e.to_string(),
+        Err(_) => return "connection timed out".into(),
     };
+    let (mut request_sender, connection) =
+        match hyper::client::conn::http1::handshake(TokioIo::new(stream)).await {
+            Ok(parts) => parts,
+            Err(e) => return e.to_string(),
+        };
     let driver = spawn_local(async move {
         let _ = connection.await;
     });
     let why = async {
         let request = Request::get("/changes")
-            .header(header::HOST, at.to_string())
+            .header(header::HOST, address.to_string())
             .header(header::ACCEPT, "text/event-stream")
             .header("Last-Event-ID", last.to_string())
             .body(Empty::<Bytes>::new());
@@ -439,37 +461,39 @@
             Ok(request) => request,
             Err(e) => return e.to_string(),
         };
-        let response = match timeout(FEED_SILENCE, sender.send_request(request)).await {
+        let response = match timeout(FEED_IDLE_TIMEOUT, request_sender.send_request(request)).await {
             Ok(Ok(response)) if response.status() == StatusCode::OK => response,
             Ok(Ok(response)) => return format!("status {}", response.status()),
             Ok(Err(e)) => return e.to_string(),
-            Err(_) => return "no answer in time".into(),
+            Err(_) => return "response timed out".into(),
         };
-        events(response.into_body(), last, failed, to).await
+        read_events(response.into_body(), last, unreadable, input_tx).await
     }
     .await;
     driver.abort();
     why
 }
 
-async fn events(body: Incoming, last: &mut u64, failed: &mut Option<u64>, to: &mpsc::Sender<Came>) -> String {
+async fn read_events(
+    body: Incoming, last: &mut u64, unreadable: &mut Option<u64>, input_tx: &mpsc::Sender<TimedInput>,
+) -> String {
     let bytes = Rc::new(Cell::new(0));
-    let counted = bytes.clone();
+    let counted_bytes = bytes.clone();
     let data = stream::unfold(body, move |mut body| {
-        let counted = counted.clone();
+        let counted_bytes = counted_bytes.clone();
         async move {
             loop {
-                let frame = match timeout(FEED_SILENCE, body.frame()).await {
-                    Err(_) => return Some((Err("it is silent".to_owned()), body)),
+                let frame = match timeout(FEED_IDLE_TIMEOUT, body.frame()).await {
+                    Err(_) => return Some((Err("no data within the idle timeout".to_owned()), body)),
                     Ok(None) => return None,
                     Ok(Some(Err(e))) => return Some((Err(e.to_string()), body)),
                     Ok(Some(Ok(frame))) => frame,
                 };
                 if let Ok(data) = frame.into_data() {
-                    counted.set(counted.get() + data.len());
-                    let long = counted.get() > FEED_EVENT;
+                    counted_bytes.set(counted_bytes.get() + data.len());
+                    let too_long = counted_bytes.get() > MAX_EVENT_BYTES;
                     return Some((
-                        if long { Err("an event that never ends".to_owned()) } else { Ok(data) },
+                        if too_long { Err("event exceeds the size limit".to_owned()) } else { Ok(data) },
                         body,
                     ));
                 }
@@ -479,87 +503,93 @@
     let mut events = std::pin::pin!(data.eventsource());
     loop {
         let event = match events.next().await {
-            None => return "it ended".into(),
+            None => return "the stream ended".into(),
             Some(Err(e)) => return e.to_string(),
             Some(Ok(event)) => event,
         };
         bytes.set(0);
         match parse_event(&event.data) {
-            // Told twice.
+            // A duplicate.
             Ok(change) if change.number <= *last => {}
             Ok(change) => {
                 *last = change.number;
-                let _ = to.send((Instant::now(), Input::Change(change))).await;
+                let _ = input_tx.send((Instant::now(), Input::Change(change))).await;
             }
             Err(e) => {
                 let number = event.id.parse().ok();
-                if number.is_some() && *failed == number {
-                    // It came so twice: told as it is, it says nothing.
+                if number.is_some() && *unreadable == number {
+                    // The same event was unreadable twice, so another attempt would not help: skips it.
                     *last = (*last).max(number.unwrap_or(0));
                 }
-                *failed = number;
-                return format!("an event that cannot be read: {e}");
+                *unreadable = number;
+                return format!("unreadable event: {e}");
             }
         }
     }
 }
 
-/// Follows the change log, wherever it is now, from the last number heard. Each wait is drawn from its half up, for all
-/// directors lose it at the same moment.
-async fn follow(
-    mut at: watch::Receiver<SocketAddr>, mut last: u64, to: mpsc::Sender<Came>, mut rng: fastrand::Rng,
+/// Follows the change log, at its current address, from the last number received. Each backoff is jittered
+/// down to half, as all directors lose the change log at the same moment.
+async fn follow_change_log(
+    mut feed_address: watch::Receiver<SocketAddr>, mut last: u64, input_tx: mpsc::Sender<TimedInput>,
+    mut rng: fastrand::Rng,
 ) {
-    let (mut wait, mut failed) = (FEED_WAIT.0, None);
+    let (mut wait, mut unreadable) = (FEED_MIN_BACKOFF, None);
     loop {
-        let address = *at.borrow_and_update();
+        let address = *feed_address.borrow_and_update();
         let (began, before) = (Instant::now(), last);
         let why = tokio::select! {
-            why = listen(address, &mut last, &mut failed, &to) => why,
-            _ = at.changed() => continue,
+            why = read_change_stream(address, &mut last, &mut unreadable, &input_tx) => why,
+            _ = feed_address.changed() => continue,
         };
-        tracing::warn!(%address, last, "the change log: {why}; asking again");
-        wait = if last > before || began.elapsed() > FEED_SILENCE * 2 { FEED_WAIT.0 } else { wait * 2 };
-        wait = wait.min(FEED_WAIT.1);
+        tracing::warn!(%address, last, "change log: {why}; reconnecting");
+        wait = if last > before || began.elapsed() > FEED_IDLE_TIMEOUT * 2 {
+            FEED_MIN_BACKOFF
+        } else {
+            wait * 2
+        };
+        wait = wait.min(FEED_MAX_BACKOFF);
         tokio::select! {
             () = sleep(wait.mul_f64(0.5 + 0.5 * rng.f64())) => {}
-            _ = at.changed() => at.mark_changed(),
+            _ = feed_address.changed() => feed_address.mark_changed(),
         }
     }
 }
 
-type Pipes = Rc<RefCell<HashMap<u64, Rc<Pipe>>>>;
+type ViewerOutputs = Rc<RefCell<HashMap<u64, Rc<ConnectionOutput>>>>;
 
 struct Shell {
-    exchange: SessionCore,
+    core: SessionCore,
     clock: Clock,
-    viewers: Pipes,
-    links: HashMap<u64, Rc<Pipe>>,
-    connect: Duration,
-    backlog: Backlog,
-    to: mpsc::Sender<Came>,
-    feed: watch::Sender<SocketAddr>,
-    file: PathBuf,
-    lines: (Instant, u32),
-    /// Set-ups that came so far, and when that was last seen to change.
+    viewers: ViewerOutputs,
+    links: HashMap<u64, Rc<ConnectionOutput>>,
+    connect_timeout: Duration,
+    unsent_total: UnsentTotal,
+    input_tx: mpsc::Sender<TimedInput>,
+    feed_address_tx: watch::Sender<SocketAddr>,
+    config_path: PathBuf,
+    /// Start of the current second of log output, and its lines so far.
+    log_lines: (Instant, u32),
+    /// Set-ups received so far, and when that number last changed.
     last_setup: (u64, Instant),
-    /// Bytes that inputs of one round may hold.
-    most_batch: usize,
-    /// Viewers' connections that may linger at a time.
+    /// Maximum size of the inputs of one round in bytes.
+    max_batch_bytes: usize,
+    /// Permits for lingering viewer connections.
     lingering: Rc<Semaphore>,
-    /// When viewers' connections were closed for the end.
-    shut_at: Option<Instant>,
+    /// When viewer connections were closed for the shutdown.
+    viewers_closed_at: Option<Instant>,
 }
 
 impl Shell {
     fn now(&mut self) -> f64 {
         let (now, stepped) = self.clock.now();
         if let Some(by) = stepped {
-            tracing::warn!(by, "the wall clock was stepped; our time goes on and is slewed towards it");
+            tracing::warn!(by, "the wall clock was stepped; internal time is slewed towards it");
         }
         now
     }
 
-    fn take(&mut self, now: f64, (came, input): Came) {
+    fn handle_input(&mut self, now: f64, (arrived_at, input): TimedInput) {
         match &input {
             Input::LinkFailed { link, .. } | Input::LinkDisconnected { link } => {
                 tracing::debug!("{input:?}");
@@ -570,136 +600,143 @@
             Input::ViewerMessage { conn, message } => tracing::trace!(conn, "{message:?}"),
             _ => {}
         }
-        self.exchange.handle_input(now, came.elapsed().as_secs_f64(), input);
+        self.core.handle_input(now, arrived_at.elapsed().as_secs_f64(), input);
     }
 
-    fn say(&mut self, line: &str) {
-        let (since, lines) = &mut self.lines;
+    fn log_line(&mut self, line: &str) {
+        let (since, lines) = &mut self.log_lines;
         if since.elapsed() > Duration::from_secs(1) {
-            if *lines > LINES {
-                tracing::info!("{} lines passed over", *lines - LINES);
+            if *lines > MAX_LOG_LINES {
+                tracing::info!("{} log lines suppressed", *lines - MAX_LOG_LINES);
             }
             (*since, *lines) = (Instant::now(), 0);
         }
         *lines += 1;
-        if *lines <= LINES {
+        if *lines <= MAX_LOG_LINES {
             tracing::info!("{line}");
         }
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::SendViewer { conn, bytes } => {
                     tracing::trace!(conn, "{}", String::from_utf8_lossy(&bytes));
-                    if let Some(pipe) = self.viewers.borrow().get(&conn) {
-                        pipe.write(&bytes);
+                    if let Some(output) = self.viewers.borrow().get(&conn) {
+                        output.write(&bytes);
                     }
                 }
                 Effect::CloseViewer { conn } => {
-                    if let Some(pipe) = self.viewers.borrow().get(&conn) {
-                        pipe.close();
+                    if let Some(output) = self.viewers.borrow().get(&conn) {
+                        output.close();
                     }
                 }
                 Effect::ConnectLink { link: number, address } => {
-                    tracing::debug!(number, %address, "dial");
-                    let pipe = Pipe::new(None, self.backlog.clone());
-                    self.links.insert(number, pipe.clone());
-                    let (to, connect) = (self.to.clone(), self.connect);
+                    tracing::debug!(number, %address, "connecting to node");
+                    let output = ConnectionOutput::new(None, self.unsent_total.clone());
+                    self.links.insert(number, output.clone());
+                    let (input_tx, connect_timeout) = (self.input_tx.clone(), self.connect_timeout);
                     spawn_local(async move {
-                        guarded(link(number, address, connect, pipe, to.clone())).await;
-                        let _ = to.send((Instant::now(), Input::LinkDisconnected { link: number })).await;
+                        catch_panic(run_link(number, address, connect_timeout, output, input_tx.clone()))
+                            .await;
+                        let _ =
+                            input_tx.send((Instant::now(), Input::LinkDisconnected { link: number })).await;
                     });
                 }
                 Effect::SendNode { link, bytes } => {
                     tracing::trace!(link, "{}", String::from_utf8_lossy(&bytes));
-                    if let Some(pipe) = self.links.get(&link) {
-                        pipe.write(&bytes);
+                    if let Some(output) = self.links.get(&link) {
+                        output.write(&bytes);
                     }
                 }
                 Effect::CloseLink { link, immediate } => {
-                    if let Some(pipe) = self.links.remove(&link) {
-                        if immediate { pipe.abort() } else { pipe.close() }
+                    if let Some(output) = self.links.remove(&link) {
+                        if immediate { output.abort() } else { output.close() }
                     }
                 }
-                Effect::Log(line) => self.say(&line),
-                Effect::InternalError(why) => tracing::error!(%why, "the decisions report a fault"),
+                Effect::Log(line) => self.log_line(&line),
+                Effect::InternalError(why) => {
+                    tracing::error!(%why, "the session logic reported an internal error")
+                }
             }
         }
     }
 
-    fn round(&mut self) {
+    fn run_round(&mut self) {
         let now = self.now();
         let mut effects = Vec::new();
-        self.exchange.run_round(now, &mut |e| effects.push(e));
-        self.carry_out(effects);
+        self.core.run_round(now, &mut |e| effects.push(e));
+        self.apply_effects(effects);
     }
 
-    fn read_again(&mut self) {
-        match StartupConfig::reread_changelog(&self.file) {
+    fn reload_config(&mut self) {
+        match StartupConfig::reread_changelog(&self.config_path) {
             Ok(address) => {
-                tracing::info!(%address, "configuration read again");
-                self.feed.send_replace(address);
+                tracing::info!(%address, "configuration reloaded");
+                self.feed_address_tx.send_replace(address);
             }
-            Err(e) => tracing::error!("{e}; the old configuration stays in force"),
+            Err(e) => tracing::error!("{e}; keeping the current configuration"),
         }
     }
 
-    /// Whether the process may end, so long after it was told to: nothing is open, and nothing is to be expected.
-    /// Viewers' connections are closed once it might, and it ends after a further quiet while.
-    fn may_end(&mut self, since: Duration, line: &mpsc::Receiver<Came>) -> bool {
-        let counts = self.exchange.counts();
+    /// Whether the process may exit `since` the termination signal: no set-up is open, and none is to be
+    /// expected. Closes viewer connections once that holds, and allows the exit after a further quiet time.
+    fn may_exit(&mut self, since: Duration, input_rx: &mpsc::Receiver<TimedInput>) -> bool {
+        let counts = self.core.counts();
         if counts.setups_received != self.last_setup.0 {
             self.last_setup = (counts.setups_received, Instant::now());
         }
-        if since < LAST_SETUPS {
+        if since < SHUTDOWN_SERVE_TIME {
             return false;
         }
-        self.exchange.refuse_setups();
-        let quiet = self.last_setup.1.elapsed() >= LAST_QUIET && line.is_empty();
-        if counts.open_setups > 0 || !(quiet || since >= LAST_WORDS) {
+        self.core.refuse_setups();
+        let quiet = self.last_setup.1.elapsed() >= SHUTDOWN_QUIET_TIME && input_rx.is_empty();
+        if counts.open_setups > 0 || !(quiet || since >= SHUTDOWN_MAX_TIME) {
             return false;
         }
-        let shut = *self.shut_at.get_or_insert_with(|| {
-            // All at once, and their descriptors are held already.
-            self.lingering.add_permits(self.exchange.max_viewers());
+        let closed_at = *self.viewers_closed_at.get_or_insert_with(|| {
+            // All connections close at once, and their file descriptors are held already.
+            self.lingering.add_permits(self.core.max_viewers());
             Instant::now()
         });
-        // Those that came since are closed too, each with what was taken on it answered.
-        self.exchange.close_idle_viewers();
-        shut.elapsed() >= LAST_QUIET
+        // Also closes connections that arrived since, once the set-ups on them are answered.
+        self.core.close_idle_viewers();
+        closed_at.elapsed() >= SHUTDOWN_QUIET_TIME
     }
 
-    /// Before a round that may send something: lets readers pass on all that lies in the sockets. Whether a viewer is still
-    /// there is known before anything is done for it, and what was taken before the process ends.
-    async fn look(&mut self, input: &mut mpsc::Receiver<Came>, batch: &mut Vec<Came>) {
-        let held = |(_, input): &Came| match input {
+    /// Lets readers pass on all that lies in the sockets, before a round that may send something or end the
+    /// process. Thus the core knows whether a viewer is still connected before it acts for it, and no input
+    /// that was read is lost at the exit.
+    async fn read_available(
+        &mut self, input_rx: &mut mpsc::Receiver<TimedInput>, batch: &mut Vec<TimedInput>,
+    ) {
+        let held = |(_, input): &TimedInput| match input {
             Input::ViewerMessage { message: Ok(viewer::ViewerMessage::Start(_, ask)), .. } => ask.blob.len(),
             Input::NodeMessage { message: Message::Response(r), .. } => r.body.len(),
             Input::NodeMessage { message: Message::Request(r), .. } => r.body.len(),
             _ => 0,
         };
         let mut bytes: usize = batch.iter().map(held).sum();
-        for turn in 0..LOOKS.1 {
+        for turn in 0..MAX_READ_TURNS {
             let before = batch.len();
-            while batch.len() < BATCH
-                && bytes < self.most_batch
-                && let Ok(next) = input.try_recv()
+            while batch.len() < MAX_BATCH
+                && bytes < self.max_batch_bytes
+                && let Ok(next) = input_rx.try_recv()
             {
                 bytes += held(&next);
                 batch.push(next);
             }
-            let full = batch.len() >= BATCH || bytes >= self.most_batch;
-            if full || turn >= LOOKS.0 && batch.len() == before {
+            let full = batch.len() >= MAX_BATCH || bytes >= self.max_batch_bytes;
+            if full || turn >= MIN_READ_TURNS && batch.len() == before {
                 return;
             }
             tokio::task::yield_now().await;
         }
     }
 
-    /// Takes one batch in: first what the list says, then what viewers say, then nodes, each in the order in which it
-    /// came, so that nothing leaves for one who is gone by then, or to a node that is.
-    fn take_all(&mut self, now: f64, mut batch: Vec<Came>) {
+    /// Handles one batch: first the change log, then viewers, then nodes, each in order of arrival, so that
+    /// nothing is sent for a viewer or to a node that is gone by then.
+    fn handle_batch(&mut self, now: f64, mut batch: Vec<TimedInput>) {
         batch.sort_by_key(|(_, input)| match input {
             Input::Change(_) => 0,
             Input::ViewerConnected { .. }
@@ -708,75 +745,80 @@
             | Input::ViewerDisconnected { .. } => 1,
             _ => 2,
         });
-        batch.into_iter().for_each(|came| self.take(now, came));
+        batch.into_iter().for_each(|input| self.handle_input(now, input));
     }
 
     async fn run(
-        mut self, mut input: mpsc::Receiver<Came>, [mut ends, mut int, mut again]: [Signal; 3],
-        mut tasks: JoinSet<()>,
+        mut self, mut input_rx: mpsc::Receiver<TimedInput>,
+        [mut terminate, mut interrupt, mut hangup]: [Signal; 3], mut tasks: JoinSet<()>,
     ) -> io::Result<()> {
-        let mut ending: Option<Instant> = None;
-        let (mut told, mut last) = (Instant::now(), Instant::now());
+        let mut terminated_at: Option<Instant> = None;
+        let (mut last_status, mut last_round) = (Instant::now(), Instant::now());
         loop {
-            self.round();
-            if told.elapsed() >= Duration::from_secs(1) {
-                told = Instant::now();
+            self.run_round();
+            if last_status.elapsed() >= Duration::from_secs(1) {
+                last_status = Instant::now();
                 if tracing::enabled!(tracing::Level::DEBUG) {
-                    tracing::debug!("belief: {}", self.exchange.status_line());
+                    tracing::debug!("status: {}", self.core.status_line());
                 }
             }
-            if let Some(at) = ending
-                && self.may_end(at.elapsed(), &input)
+            if let Some(since) = terminated_at
+                && self.may_exit(since.elapsed(), &input_rx)
             {
                 break;
             }
-            let wait = (self.exchange.next_timer_at() - self.now()).clamp(0.0, 1.0);
-            let due = tokio::time::Instant::now() + Duration::from_secs_f64(wait);
+            let wait = (self.core.next_timer_at() - self.now()).clamp(0.0, 1.0);
+            let deadline = tokio::time::Instant::now() + Duration::from_secs_f64(wait);
             let first = tokio::select! {
                 biased;
-                _ = ends.recv() => { ending.get_or_insert_with(Instant::now); None }
-                _ = int.recv() => { ending.get_or_insert_with(Instant::now); None }
-                _ = again.recv() => { self.read_again(); None }
-                Some(ended) = tasks.join_next() => {
-                    return Err(io::Error::other(format!("a task that never ends did: {ended:?}")));
+                _ = terminate.recv() => { terminated_at.get_or_insert_with(Instant::now); None }
+                _ = interrupt.recv() => { terminated_at.get_or_insert_with(Instant::now); None }
+                _ = hangup.recv() => { self.reload_config(); None }
+                Some(outcome) = tasks.join_next() => {
+                    return Err(io::Error::other(format!("a background task ended unexpectedly: {outcome:?}")));
                 }
-                first = input.recv() => first,
-                () = sleep_until(due) => None,
+                first = input_rx.recv() => first,
+                () = sleep_until(deadline) => None,
             };
-            let mut batch: Vec<Came> = first.into_iter().collect();
-            let gap = last.elapsed();
+            let mut batch: Vec<TimedInput> = first.into_iter().collect();
+            let gap = last_round.elapsed();
             if stood_still(gap, Duration::from_secs_f64(wait)) {
-                tracing::warn!(seconds = gap.as_secs_f64(), "stood still; reading what came meanwhile first");
-                self.catch_up(&mut input, std::mem::take(&mut batch)).await;
+                tracing::warn!(
+                    seconds = gap.as_secs_f64(),
+                    "the process was paused; reading pending input before timers fire"
+                );
+                self.read_after_pause(&mut input_rx, std::mem::take(&mut batch)).await;
             }
             let now = self.now();
-            if !batch.is_empty() || ending.is_some() || self.exchange.may_send(now) {
-                self.look(&mut input, &mut batch).await;
+            if !batch.is_empty() || terminated_at.is_some() || self.core.may_send(now) {
+                self.read_available(&mut input_rx, &mut batch).await;
             }
             let now = self.now();
-            self.take_all(now, batch);
-            last = Instant::now();
+            self.handle_batch(now, batch);
+            last_round = Instant::now();
         }
-        let pipes: Vec<Rc<Pipe>> =
+        let outputs: Vec<Rc<ConnectionOutput>> =
             self.viewers.borrow().values().chain(self.links.values()).cloned().collect();
-        pipes.iter().for_each(|p| p.close());
+        outputs.iter().for_each(|o| o.close());
         let flushed = async {
-            while pipes.iter().any(|p| p.waits()) {
+            while outputs.iter().any(|o| o.has_unsent()) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        let _ = timeout(LINGER, flushed).await;
+        let _ = timeout(LINGER_TIMEOUT, flushed).await;
         tracing::info!("all is answered");
         Ok(())
     }
 
-    /// Takes what lies in the sockets after a pause of the process, before any time-out fires on it.
-    async fn catch_up(&mut self, input: &mut mpsc::Receiver<Came>, mut first: Vec<Came>) {
+    /// Reads what lies in the sockets after a pause of the process, before any timer fires on it.
+    async fn read_after_pause(
+        &mut self, input_rx: &mut mpsc::Receiver<TimedInput>, mut first: Vec<TimedInput>,
+    ) {
         let until = Instant::now() + CATCH_UP;
         loop {
-            self.look(input, &mut first).await;
+            self.read_available(input_rx, &mut first).await;
             let now = self.now();
-            self.take_all(now, std::mem::take(&mut first));
+            self.handle_batch(now, std::mem::take(&mut first));
             if Instant::now() >= until {
                 return;
             }
@@ -785,50 +827,62 @@
     }
 }
 
-async fn platform(start: StartupConfig) -> io::Result<()> {
-    let listener = TcpListener::bind(start.listen).await?;
+async fn run_platform(config: StartupConfig) -> io::Result<()> {
+    let listener = TcpListener::bind(config.listen).await?;
     let signals =
         [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?, signal(SignalKind::hangup())?];
     let mut clock = Clock::default();
     let (now, _) = clock.now();
-    let exchange = SessionCore::new(&start, now);
-    let (to, input) = mpsc::channel(INPUTS);
-    let (feed, at) = watch::channel(start.changelog);
-    let viewers = Pipes::default();
-    let backlog = Backlog { bytes: Rc::default(), most: start.max_memory / MEMORY_DIVISOR };
-    // These never end; the director would be deaf without them.
+    let core = SessionCore::new(&config, now);
+    let (input_tx, input_rx) = mpsc::channel(INPUT_QUEUE_LENGTH);
+    let (feed_address_tx, feed_address) = watch::channel(config.changelog);
+    let viewers = ViewerOutputs::default();
+    let unsent_total = UnsentTotal { bytes: Rc::default(), limit: config.max_memory / MEMORY_DIVISOR };
+    // These tasks never end; without them the director would get no input.
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(follow(at, start.last_known_change, to.clone(), fastrand::Rng::with_seed(start.seed)));
-    let (most, lingering) = (exchange.max_viewers(), Rc::new(Semaphore::new(LINGERING)));
-    let accepting = accept(listener, most, backlog.clone(), viewers.clone(), to.clone(), lingering.clone());
+    tasks.spawn_local(follow_change_log(
+        feed_address,
+        config.last_known_change,
+        input_tx.clone(),
+        fastrand::Rng::with_seed(config.seed),
+    ));
+    let (limit, lingering) = (core.max_viewers(), Rc::new(Semaphore::new(MAX_LINGERING)));
+    let accepting = accept_viewers(
+        listener,
+        limit,
+        unsent_total.clone(),
+        viewers.clone(),
+        input_tx.clone(),
+        lingering.clone(),
+    );
     tasks.spawn_local(accepting);
-    tracing::info!(name = start.name, listen = %start.listen, sockets = start.max_sockets, "started");
+    tracing::info!(name = config.name, listen = %config.listen, sockets = config.max_sockets, "started");
     let shell = Shell {
-        exchange,
+        core,
         clock,
         viewers,
         links: HashMap::new(),
-        connect: Duration::from_secs_f64(start.names.connect_timeout.max(0.05)),
-        to,
-        feed,
-        file: start.config_path,
-        lines: (Instant::now(), 0),
+        connect_timeout: Duration::from_secs_f64(config.names.connect_timeout.max(0.05)),
+        input_tx,
+        feed_address_tx,
+        config_path: config.config_path,
+        log_lines: (Instant::now(), 0),
         last_setup: (0, Instant::now()),
-        most_batch: start.max_memory / BATCH_PART,
+        max_batch_bytes: config.max_memory / BATCH_MEMORY_DIVISOR,
         lingering,
-        shut_at: None,
-        backlog,
+        viewers_closed_at: None,
+        unsent_total,
     };
-    shell.run(input, signals, tasks).await
+    shell.run(input_rx, signals, tasks).await
 }
 
-/// Runs a director of the platform until a signal ends it.
+/// Runs a director on the platform until a signal ends it.
 ///
 /// # Errors
-/// Where its address cannot be bound or the system gives no runtime.
-pub fn run(start: StartupConfig) -> io::Result<()> {
+/// If its address cannot be bound or the runtime cannot be built.
+pub fn run(config: StartupConfig) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, platform(start))
+    LocalSet::new().block_on(&runtime, run_platform(config))
 }
 
 #[cfg(test)]
--- a/crates/kelpdoor-platform/src/shell/tests.rs
+++ b/crates/kelpdoor-platform/src/shell/tests.rs
@@ -1,75 +1,80 @@
 use super::*;
 
 #[test]
-fn only_a_refusal_is_one_and_what_we_lack_says_nothing_of_a_node() {
-    let of = |code: i32| failed(Some(&io::Error::from_raw_os_error(code)));
-    assert_eq!(of(libc::ECONNREFUSED), ConnectFailure::Refused);
-    assert_eq!([of(libc::EMFILE), of(libc::EADDRNOTAVAIL)], [ConnectFailure::LocalResources; 2]);
-    assert_eq!([of(libc::EHOSTUNREACH), failed(None)], [ConnectFailure::Unreachable; 2]);
+fn connect_errors_are_classified_by_what_they_prove_about_the_node() {
+    let classify = |code: i32| classify_connect_error(Some(&io::Error::from_raw_os_error(code)));
+    assert_eq!(classify(libc::ECONNREFUSED), ConnectFailure::Refused);
+    assert_eq!([classify(libc::EMFILE), classify(libc::EADDRNOTAVAIL)], [ConnectFailure::LocalResources; 2]);
+    assert_eq!(
+        [classify(libc::EHOSTUNREACH), classify_connect_error(None)],
+        [ConnectFailure::Unreachable; 2]
+    );
 }
 
-fn backlog(most: usize) -> Backlog {
-    Backlog { bytes: Rc::default(), most }
+fn unsent_total(limit: usize) -> UnsentTotal {
+    UnsentTotal { bytes: Rc::default(), limit }
 }
 
-async fn pair() -> (Rc<TcpStream>, TcpStream) {
+async fn connected_pair() -> (Rc<TcpStream>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let ours = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("connected");
-    (Rc::new(ours), listener.accept().await.expect("accepted").0)
+    let local = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("connected");
+    (Rc::new(local), listener.accept().await.expect("accepted").0)
 }
 
 #[tokio::test]
-async fn a_peer_that_does_not_read_is_cut_off_at_the_bound_and_holds_no_connection_that_closes() {
-    let (ours, _theirs) = pair().await;
-    let all = backlog(1 << 20);
-    let pipe = Pipe::new(Some(ours.clone()), all.clone());
+async fn peer_that_does_not_read_is_cut_off_and_cannot_delay_a_close() {
+    let (local, _remote) = connected_pair().await;
+    let total = unsent_total(1 << 20);
+    let output = ConnectionOutput::new(Some(local.clone()), total.clone());
     let chunk = vec![b'x'; 16 << 10];
     for _ in 0..10_000 {
-        if pipe.waits() {
+        if output.has_unsent() {
             break;
         }
-        pipe.write(&chunk);
+        output.write(&chunk);
     }
-    assert!(pipe.waits() && !pipe.cut.get());
-    pipe.close();
-    let end = timeout(LINGER * 2, serve(&ours, &pipe, true, async |_: &mut Vec<u8>| true)).await;
-    assert_eq!(end, Ok(false), "it ends though its last words are not read");
-    (0..10).for_each(|_| pipe.write(&chunk));
-    assert!(pipe.cut.get() && all.bytes.get() <= PENDING);
-    drop(pipe);
-    assert_eq!(all.bytes.get(), 0);
+    assert!(output.has_unsent() && !output.aborted.get());
+    output.close();
+    let end =
+        timeout(LINGER_TIMEOUT * 2, serve_connection(&local, &output, true, async |_: &mut Vec<u8>| true))
+            .await;
+    assert_eq!(end, Ok(false), "the close does not wait for a peer that does not read");
+    (0..10).for_each(|_| output.write(&chunk));
+    assert!(output.aborted.get() && total.bytes.get() <= MAX_UNSENT_BYTES);
+    drop(output);
+    assert_eq!(total.bytes.get(), 0);
 }
 
 #[tokio::test]
-async fn what_a_peer_said_before_it_saw_our_close_is_read() {
+async fn data_sent_before_the_peer_sees_the_close_is_read() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let (ours, mut theirs) = pair().await;
-    let pipe = Pipe::new(Some(ours.clone()), backlog(1 << 20));
-    pipe.close();
-    let said = RefCell::new(Vec::new());
-    let served = serve(&ours, &pipe, true, async |buf: &mut Vec<u8>| {
-        said.borrow_mut().append(buf);
+    let (local, mut remote) = connected_pair().await;
+    let output = ConnectionOutput::new(Some(local.clone()), unsent_total(1 << 20));
+    output.close();
+    let received = RefCell::new(Vec::new());
+    let serving = serve_connection(&local, &output, true, async |buf: &mut Vec<u8>| {
+        received.borrow_mut().append(buf);
         true
     });
     let peer = async {
-        theirs.write_all(b"over").await.expect("the way to us is open");
-        assert_eq!(theirs.read(&mut [0; 8]).await.expect("our end"), 0);
-        drop(theirs);
+        remote.write_all(b"over").await.expect("the local side still reads");
+        assert_eq!(remote.read(&mut [0; 8]).await.expect("the local end"), 0);
+        drop(remote);
     };
-    let both = timeout(LINGER * 2, async { tokio::join!(served, peer) }).await;
-    let (ours_to_end, ()) = both.expect("both ends close");
-    assert_eq!((ours_to_end, &said.borrow()[..]), (false, &b"over"[..]));
+    let both = timeout(LINGER_TIMEOUT * 2, async { tokio::join!(serving, peer) }).await;
+    let (peer_ended, ()) = both.expect("both ends close");
+    assert_eq!((peer_ended, &received.borrow()[..]), (false, &b"over"[..]));
 }
 
 #[tokio::test]
-async fn all_peers_together_keep_within_their_bound() {
-    let all = backlog(20 << 10);
-    let pipes = [Pipe::new(None, all.clone()), Pipe::new(None, all.clone())];
-    pipes.iter().for_each(|p| p.write(&[0; 16 << 10]));
-    assert_eq!(pipes.each_ref().map(|p| p.cut.get()), [false, true]);
+async fn unsent_bytes_of_all_peers_are_limited() {
+    let total = unsent_total(20 << 10);
+    let outputs = [ConnectionOutput::new(None, total.clone()), ConnectionOutput::new(None, total.clone())];
+    outputs.iter().for_each(|o| o.write(&[0; 16 << 10]));
+    assert_eq!(outputs.each_ref().map(|o| o.aborted.get()), [false, true]);
 }
 
 #[tokio::test]
-async fn a_fault_in_a_connections_task_costs_that_connection_alone() {
-    guarded(async { panic!("a fault") }).await;
+async fn panic_in_a_connection_task_is_contained() {
+    catch_panic(async { panic!("a fault") }).await;
 }
