--- a/crates/kelpdoor-platform/tests/codecs.rs
+++ b/crates/kelpdoor-platform/tests/codecs.rs
@@ -1,4 +1,5 @@
-//! What viewers and nodes may send, row by row of the platform's tables, and bytes that nobody should.
+//! Parsing and encoding of viewer lines, node messages, change log events and the startup configuration, with
+//! valid, invalid and random input.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use proptest::test_runner::RngSeed;
 
 #[test]
-fn each_kind_of_line_and_each_fault_of_one() {
+fn viewer_lines_parse_or_report_the_error() {
     let good = common::start(5, "paid", "home:4;copies:3;top:4;viewer:00000000b4d65521;again:1", "v=0\r\n");
     let at = common::start(5, "paid", "home:4;copies:3;top:4;at:s-1", "").replace("3000", "4294967");
     let lines = [
@@ -73,10 +74,10 @@
 }
 
 #[test]
-fn what_a_director_says_to_viewers() {
+fn replies_to_viewers_are_encoded_as_json_lines() {
     use viewer::Reply;
     let id = viewer::parse_session_id("9b1f03aa5c7e2d41");
-    let said = [
+    let encoded = [
         viewer::encode(id, Reply::Started("a\r\n\"b\"")),
         viewer::encode(id, Reply::Finish { cause: 42, wait: Some(0.9996) }),
         viewer::encode(id, Reply::Finish { cause: 41, wait: None }),
@@ -92,11 +93,11 @@
         {"verb":"ECHOED","tag":"9b1f03aa5c7e2d41","opts":{},"rc":1}
         {"verb":"MOVE","tag":"9b1f03aa5c7e2d41","opts":{}}
     "#]]
-    .assert_eq(&String::from_utf8_lossy(&said.concat()));
+    .assert_eq(&String::from_utf8_lossy(&encoded.concat()));
 }
 
 #[test]
-fn what_each_message_of_a_node_says_and_proves() {
+fn node_messages_are_interpreted_by_method_status_and_headers() {
     let fields = ReportFields(vec!["inflight".into(), "x0".into()]);
     let rows = [
         "RTSP/1.0 100 Trying|CSeq: 1|S",
@@ -140,19 +141,19 @@
         Notification { sess: SessId(5), notification: Uplink(0.9) }
         Ignored
         Ignored"#]].assert_eq(&rows.iter().map(show).collect::<Vec<_>>().join("\n"));
-    // A cut session tells of a death only where the process may be another.
+    // A cut session is a sign of the node's death only if the process may have restarted.
     assert_eq!(
-        [16, 31, 41].map(|why| media::teardown_outcome(why, true)),
+        [16, 31, 41].map(|cause| media::teardown_outcome(cause, true)),
         [Ending::Served, Ending::Withdrawn, Ending::Broken]
     );
     assert_eq!(
-        [16, 31, 41].map(|why| media::teardown_outcome(why, false)),
+        [16, 31, 41].map(|cause| media::teardown_outcome(cause, false)),
         [Ending::Served, Ending::Withdrawn, Ending::Withdrawn]
     );
 }
 
 #[test]
-fn a_bad_start_names_the_variable_or_key() {
+fn invalid_startup_configuration_names_the_variable_or_key() {
     let dir = std::env::temp_dir().join(format!("kelpdoor-start-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let file = dir.join("config.json");
@@ -166,7 +167,7 @@
             |s| format!("{} {:x}", s.name, s.seed),
         )
     };
-    let mut told = vec![read(&good)];
+    let mut results = vec![read(&good)];
     for (key, value) in [
         ("listen", serde_json::json!("nowhere")),
         ("seed", serde_json::json!("xyz")),
@@ -178,10 +179,10 @@
     ] {
         let mut bad = good.clone();
         bad[key] = value;
-        told.push(read(&bad));
+        results.push(read(&bad));
     }
-    told.push(read(&serde_json::json!([])));
-    told.push(StartupConfig::read(|_| None).map_or_else(|e| e.0, |s| s.name));
+    results.push(read(&serde_json::json!([])));
+    results.push(StartupConfig::read(|_| None).map_or_else(|e| e.0, |s| s.name));
     std::fs::remove_dir_all(&dir).expect("removed");
     expect![[r#"
         n3 8c1f30d27a5be964
@@ -194,29 +195,29 @@
         PROXY_NAME: not set, and the file has no name
         PROXY_CONFIG: FILE: not a JSON object
         PROXY_CONFIG: not set"#]]
-    .assert_eq(&told.join("\n"));
+    .assert_eq(&results.join("\n"));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn lines_of_any_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_viewer_lines_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = viewer::parse(&bytes);
     }
 
     #[test]
-    fn changed_lines_never_panic_and_what_is_taken_is_within_bounds(at in any::<prop::sample::Index>(), to in any::<u8>()) {
+    fn mutated_setup_lines_never_panic_and_stay_within_bounds(at in any::<prop::sample::Index>(), to in any::<u8>()) {
         let mut line = common::start(5, "paid", "home:4;copies:3;top:4;at:s-1", "v=0").into_bytes();
         let at = at.index(line.len());
         line[at] = to;
-        if let Ok(viewer::ViewerMessage::Start(_, ask)) = viewer::parse(&line) {
-            prop_assert!(ask.time_left.is_finite() && ask.key.len() <= 64 && ask.key.bytes().all(|b| b.is_ascii_graphic()));
+        if let Ok(viewer::ViewerMessage::Start(_, request)) = viewer::parse(&line) {
+            prop_assert!(request.time_left.is_finite() && request.key.len() <= 64 && request.key.bytes().all(|b| b.is_ascii_graphic()));
         }
     }
 
     #[test]
-    fn a_set_up_reads_back_as_it_was_written(id in any::<u64>(), wait in 0.0..9.0f64, rung in 0..9u8, blob in "[ -~\r\n]{0,90}") {
+    fn encoded_setup_parses_completely(id in any::<u64>(), wait in 0.0..9.0f64, rung in 0..9u8, blob in "[ -~\r\n]{0,90}") {
         let bytes = media::setup(kelpdoor::ids::SessId(id), "7f3a9c21e0b4d655", "paid", wait, rung, &blob);
         let read = parse_as(Version::V1, &bytes).map(|m| m.map(|m| m.1));
         prop_assert_eq!(read, Ok(Some(bytes.len())));
@@ -226,7 +227,7 @@
     }
 
     #[test]
-    fn events_of_any_text_never_panic(text in "[ -~]{0,200}") {
+    fn arbitrary_events_never_panic(text in "[ -~]{0,200}") {
         let _ = changes::parse_event(&text);
     }
 }
--- a/crates/kelpdoor-platform/tests/common/mod.rs
+++ b/crates/kelpdoor-platform/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! Stories told to an exchange, line by line, with what it does printed as one trace.
+//! A harness that feeds inputs to a session core and prints its effects as one trace.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use kelpdoor_platform::core::{ConnectFailure, Effect, Input, SessionCore};
 use kelpdoor_platform::{StartupConfig, changes, viewer};
 use kelpdoor_rtsp::{Version, parse_as};
 use serde_json::json;
 
-/// The settings of the users' pages, cut down to what is read.
+/// The platform's settings, reduced to what is read.
 pub fn settings() -> serde_json::Value {
     json!({
         "allowed": {"connIdleMs": 30000.0, "connectTimeoutMs": 250.0, "maxRetryAfterMs": 1000.0, "mayCancel": true,
@@ -30,28 +30,30 @@
         "health": health, "share": 3, "born_ms": 0})
 }
 
-/// A connection to a node that did not come up, with what the system says of it.
-pub fn no_link(link: u64, how: ConnectFailure) -> Input {
-    let why = match how {
+/// A failed connection attempt, with the error text of the system.
+pub fn link_failure(link: u64, failure: ConnectFailure) -> Input {
+    let why = match failure {
         ConnectFailure::Refused => "Connection refused (os error 111)",
         ConnectFailure::Unreachable => "no connection within 250 ms",
         ConnectFailure::LocalResources => "Too many open files (os error 24)",
     };
-    Input::LinkFailed { link, failure: how, why: why.to_owned() }
+    Input::LinkFailed { link, failure, why: why.to_owned() }
 }
 
-pub struct Story {
-    pub exchange: SessionCore,
+pub struct Scenario {
+    pub core: SessionCore,
     pub now: f64,
     pub trace: String,
 }
 
-impl Story {
-    /// A director that knows so many nodes, in its tenth second: its own start is over.
+impl Scenario {
+    /// A director that knows `nodes` nodes, 10 s after its start, when its start-up phase is over.
     pub fn new(nodes: u32, sockets: usize) -> Self {
         let hosts: Vec<_> = (1..=nodes).map(|n| host(n, "up")).collect();
-        let known = json!({"seq": 1, "results": [{"seq": 1, "fleet": {"whole": true, "hosts": hosts}}]});
-        let (known, last_known_change) = changes::parse_known_events(&known).expect("good events");
+        let known_changes =
+            json!({"seq": 1, "results": [{"seq": 1, "fleet": {"whole": true, "hosts": hosts}}]});
+        let (known_changes, last_known_change) =
+            changes::parse_known_events(&known_changes).expect("good events");
         let (terms, report) = kelpdoor_terms::terms(&settings()).expect("good settings");
         let start = StartupConfig {
             config_path: "none".into(),
@@ -61,19 +63,19 @@
             max_sockets: sockets,
             max_memory: 32 << 20,
             changelog: ([127, 0, 0, 1], 1).into(),
-            known_changes: known,
+            known_changes,
             last_known_change,
             terms,
             report_fields: report,
             names: kelpdoor_terms::named(&settings()).expect("good settings"),
         };
-        let mut story =
-            Story { exchange: SessionCore::new(&start, 1000.0), now: 1000.0, trace: String::new() };
-        story.pass(10.0);
-        story
+        let mut scenario =
+            Scenario { core: SessionCore::new(&start, 1000.0), now: 1000.0, trace: String::new() };
+        scenario.advance(10.0);
+        scenario
     }
 
-    fn show(&mut self, effect: Effect) {
+    fn record(&mut self, effect: Effect) {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim_end().to_owned();
         let line = match effect {
             Effect::SendViewer { conn, bytes } => format!("viewer {conn} < {}", text(&bytes)),
@@ -93,96 +95,97 @@
         self.trace.push_str(&format!("{:.2} {line}\n", self.now - 1000.0));
     }
 
-    /// Something that comes in with whatever comes next, in one batch.
-    pub fn take(&mut self, input: Input) {
-        self.exchange.handle_input(self.now, 0.0, input);
+    /// Feeds an input that shares its round with the next one.
+    pub fn input(&mut self, input: Input) {
+        self.core.handle_input(self.now, 0.0, input);
     }
 
-    pub fn go(&mut self, input: Input) {
-        self.exchange.handle_input(self.now, 0.0, input);
-        self.round();
+    pub fn input_and_run(&mut self, input: Input) {
+        self.core.handle_input(self.now, 0.0, input);
+        self.run_round();
     }
 
-    fn round(&mut self) {
+    fn run_round(&mut self) {
         let mut effects = Vec::new();
-        self.exchange.run_round(self.now, &mut |e| effects.push(e));
-        effects.into_iter().for_each(|e| self.show(e));
+        self.core.run_round(self.now, &mut |e| effects.push(e));
+        effects.into_iter().for_each(|e| self.record(e));
     }
 
-    /// Lets time pass, with a round whenever one is due.
-    pub fn pass(&mut self, seconds: f64) {
+    /// Advances the time, with a round whenever one is due.
+    pub fn advance(&mut self, seconds: f64) {
         let end = self.now + seconds;
         for _ in 0..100_000 {
-            let next = self.exchange.next_timer_at();
+            let next = self.core.next_timer_at();
             if next > end {
                 break;
             }
             self.now = self.now.max(next);
-            self.round();
+            self.run_round();
         }
         self.now = end;
-        self.round();
+        self.run_round();
     }
 
-    pub fn open(&mut self, conn: u64) {
-        self.go(Input::ViewerConnected { conn });
+    pub fn connect_viewer(&mut self, conn: u64) {
+        self.input_and_run(Input::ViewerConnected { conn });
     }
 
-    pub fn say(&mut self, conn: u64, line: &str) {
+    pub fn send_line(&mut self, conn: u64, line: &str) {
         let message = viewer::parse(line.as_bytes());
-        self.go(Input::ViewerMessage { conn, message });
+        self.input_and_run(Input::ViewerMessage { conn, message });
     }
 
-    /// A set-up that any node may take, for 3 s.
-    pub fn ask(&mut self, conn: u64, id: u64) {
-        self.say(conn, &start(id, "lecture", "home:0;copies:4;top:4", "v=0"));
+    /// Sends a set-up that any node may take, from a viewer that waits 3 s.
+    pub fn request_setup(&mut self, conn: u64, id: u64) {
+        self.send_line(conn, &start(id, "lecture", "home:0;copies:4;top:4", "v=0"));
     }
 
-    /// A message of a node, its lines divided by `|`.
-    pub fn node(&mut self, link: u64, text: &str) {
+    /// Feeds a message of a node, with its lines separated by `|` and its body by `||`.
+    pub fn node_message(&mut self, link: u64, text: &str) {
         let (head, body) = text.split_once("||").unwrap_or((text, ""));
         let head = head.replace('|', "\r\n");
         let whole = format!("{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let (message, _) = parse_as(Version::V1, whole.as_bytes()).expect("RTSP").expect("whole");
-        self.go(Input::NodeMessage { link, message });
+        self.input_and_run(Input::NodeMessage { link, message });
     }
 
-    /// The node sets a session up.
-    pub fn serves(&mut self, link: u64, id: u64) {
-        self.node(link, &format!("RTSP/1.0 200 OK|CSeq: 1|Session: {id:016x}||answer {id}"));
+    /// The node accepts the SETUP of a session.
+    pub fn accept_setup(&mut self, link: u64, id: u64) {
+        self.node_message(link, &format!("RTSP/1.0 200 OK|CSeq: 1|Session: {id:016x}||answer {id}"));
     }
 
-    pub fn up(&mut self, link: u64) {
-        self.go(Input::LinkConnected { link });
+    pub fn connect_link(&mut self, link: u64) {
+        self.input_and_run(Input::LinkConnected { link });
     }
 
-    /// The connections dialled since the last call come up; the one that the last SETUP went out on.
-    pub fn settle(&mut self) -> u64 {
+    /// Connects the links that were opened since the trace was last taken; returns the link of the last
+    /// SETUP.
+    pub fn connect_opened_links(&mut self) -> u64 {
         let number = |line: &str| line.split("link ").nth(1).and_then(|l| l.split(' ').next()?.parse().ok());
-        let dialled: Vec<u64> =
+        let opened: Vec<u64> =
             self.trace.lines().filter(|l| l.contains(" dial ")).filter_map(number).collect();
-        dialled.into_iter().for_each(|link| self.up(link));
+        opened.into_iter().for_each(|link| self.connect_link(link));
         self.trace.lines().rev().find(|l| l.contains("< SETUP")).and_then(number).expect("a SETUP is out")
     }
 
-    /// A story whose session 5 stands, on viewers' connection 1 and link 0.
-    pub fn playing(nodes: u32) -> Self {
-        let mut story = Story::new(nodes, 256);
-        story.open(1);
-        story.ask(1, 5);
-        story.up(0);
-        story.serves(0, 5);
-        story.told();
-        story
+    /// A scenario in which session 5 is active, on viewer connection 1 and link 0.
+    pub fn with_active_session(nodes: u32) -> Self {
+        let mut scenario = Scenario::new(nodes, 256);
+        scenario.connect_viewer(1);
+        scenario.request_setup(1, 5);
+        scenario.connect_link(0);
+        scenario.accept_setup(0, 5);
+        scenario.take_trace();
+        scenario
     }
 
-    /// Every connection that is being dialled comes up.
-    pub fn settle_all(&mut self) {
-        (0..20).for_each(|link| self.up(link));
+    /// Connects every link that is being opened.
+    pub fn connect_all_links(&mut self) {
+        (0..20).for_each(|link| self.connect_link(link));
     }
 
-    /// What happened since the last call.
-    pub fn told(&mut self) -> String {
+    /// Takes the trace since the last call.
+    pub fn take_trace(&mut self) -> String {
         std::mem::take(&mut self.trace)
     }
 }
--- a/fuzz/fuzz_targets/platform.rs
+++ b/fuzz/fuzz_targets/platform.rs
@@ -1,6 +1,6 @@
 #![no_main]
-//! Lines of viewers, messages of nodes and events of the change log on the users' platform: nothing panics, and what
-//! parses lies within the bytes.
+//! Parses viewer lines, node messages and change log events of the users' platform: nothing panics, and a
+//! parsed message lies within the input.
 
 use kelpdoor_platform::{changes, media, viewer};
 use kelpdoor_rtsp::{Version, parse_as};
