--- a/crates/kelpdoor-platform/src/core.rs
+++ b/crates/kelpdoor-platform/src/core.rs
@@ -4,15 +4,15 @@
 //! effects.
 //!
 //! A session is requested, then has a SETUP (waiting for a connection, sent, or in doubt after its connection
-//! was lost), then is active, then ends. The function that handles a step documents what is owed at it. A
-//! set-up that the session logic leaves unanswered, whatever the fault, fails at its deadline. A link is one
-//! connection to a media node.
+//! was lost), then is active, then ends. The function that handles a step documents what its peers are to
+//! get. A set-up that the session logic leaves unanswered, whatever the fault, fails at its deadline. A link
+//! is one connection to a media node.
 //!
-//! Every resource is bounded. Beyond the limits on open set-ups (in total and per viewer connection), on the
-//! memory of their descriptions and on active sessions, set-ups get a busy reply. Beyond the limit on viewer
-//! connections, the most idle one is closed. Beyond the limit on links, SETUPs share them. Beyond the limits
-//! on messages that wait for a link, on session ends that no viewer connection could take and on recently
-//! cancelled SETUPs, the oldest entries are dropped or set-ups are refused.
+//! Every resource is bounded. Set-ups get a busy reply beyond the limits on open set-ups (in total and per
+//! viewer connection), on the memory of their descriptions, on active sessions and on recently cancelled
+//! SETUPs. Beyond the limit on viewer connections, the most idle one is closed. Beyond the limit on links,
+//! SETUPs share them. Of the messages that wait for a link, and of the session ends that no viewer connection
+//! could take, the oldest are dropped.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/kelpdoor-platform/tests/codecs.rs
+++ b/crates/kelpdoor-platform/tests/codecs.rs
@@ -44,7 +44,7 @@
             "start {} {} {} {} {}+{} {} {:?} {:?}",
             id.0, a.class, a.time_left, a.key, a.first_cell, a.cells, a.best_rung, a.at, a.blob
         ),
-        Ok(word) => format!("{word:?}"),
+        Ok(message) => format!("{message:?}"),
         Err(bad) => format!("{} {:?}: {}", bad.cause, bad.sess.map(|s| s.0), bad.why),
     };
     expect![[r#"
