--- a/crates/kelpdoor-agreement/src/keys.rs
+++ b/crates/kelpdoor-agreement/src/keys.rs
@@ -491,7 +491,8 @@
     type LocalSettings = LocalSettings;
 
     fn read(local: &LocalSettings, text: &str) -> Result<Self, String> {
-        let (deployment, shared, listed) = local.merge_document(text).map_err(|errors| first_error(&errors))?;
+        let (deployment, shared, listed) =
+            local.merge_document(text).map_err(|errors| first_error(&errors))?;
         let names = &shared.directors.names;
         let at = names.iter().position(|n| *n == local.agreement.name).map(|at| at as u32);
         let turns = merge_numberings(&[(at, names.len() as u32)]);
