--- a/crates/kelpdoor-platform/src/media.rs
+++ b/crates/kelpdoor-platform/src/media.rs
@@ -82,7 +82,7 @@
 }
 
 fn note(headers: &Headers) -> Option<Note> {
-    let value: f64 = headers.read("X-Measurement").filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
+    let value: f64 = headers.read("X-Reading").filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
     Some(match headers.get("X-Outcome")? {
         "fill" => Note::Delivered(value),
         "grade" => Note::Rung(value as u8),
