--- a/crates/kelpdoor/src/decide/loads.rs
+++ b/crates/kelpdoor/src/decide/loads.rs
@@ -49,8 +49,8 @@
 
 impl Director {
     /// Estimates the load of all other directors on a link from the own load: one of them has as much there,
-    /// because titles lead all directors to the same nodes; each of the rest has the own mean over the fleet,
-    /// because with many directors each has little anywhere.
+    /// because titles lead all directors to the same nodes; each of the rest has this director's mean
+    /// over the fleet, because with many directors each has little anywhere.
     pub(crate) fn estimate_others(&self, l: usize, here: f64, fleet: f64) -> f64 {
         let others = self.terms.directors - 1.0;
         let mean = fleet * self.links.capacity[l] / self.links.capacity[self.fleet()].max(1e-9);
@@ -106,6 +106,7 @@
         (link, self.headroom(now, self.rack(i), fill.1, 1.0))
     }
 
+    /// Updates the estimates of a node's streams, link and uplink from its load report.
     pub(super) fn apply_load_report(&mut self, now: f64, i: usize, load: &LoadReport) {
         let (l, r, then) = (self.link(i), self.rack(i), now - REPORT_AGE);
         if let Some(streams) = load.streams {
@@ -135,6 +136,8 @@
         }
     }
 
+    /// Updates the rung of a session or the estimate of a link. A measurement right after the start of a
+    /// session is current, others are `seen_after` old.
     pub(super) fn apply_measurement(&mut self, now: f64, measurement: &Measurement) {
         match *measurement {
             Measurement::Rung { sess, rung } => self.recount(now, sess, rung),
--- a/crates/kelpdoor/src/decide/rung_steps.rs
+++ b/crates/kelpdoor/src/decide/rung_steps.rs
@@ -23,14 +23,14 @@
 /// Exponent of the effect of early relief, which is small with three or four directors and nearly full with
 /// sixty.
 const EARLY_RELIEF_EXPONENT: i32 = 3;
-/// Times the need; a larger first step down is taken at random with this weight. Above 1, so that most of a
-/// shortage ends.
+/// Times the need; a first step down that is larger than this is taken at random, with a probability of this
+/// over its rate. Above 1, so that most of a real shortage ends.
 const RELIEF_DRAW_WEIGHT: f64 = 3.0;
 /// Part of a rate; actual rates differ from the ladder by up to a quarter, depending on the title.
 pub(super) const RATE_MARGIN: f64 = 0.2;
 /// Least part of the room measured at an own set-up that this director uses; the rest is for the next set-up.
 const MIN_EXCLUSIVE_PART: f64 = 0.4;
-/// s; bounds of the random wait before a rise, about the interval between measurements.
+/// s; bounds of the random wait before a rise, about the time until the next measurement.
 pub(super) const MIN_RISE_WAIT: f64 = 0.5;
 const MAX_RISE_WAIT: f64 = 2.0;
 /// s; a session keeps its rung at least for this time, so that the change is worth its cost.
--- a/crates/kelpdoor/src/decide/shares.rs
+++ b/crates/kelpdoor/src/decide/shares.rs
@@ -8,7 +8,7 @@
 use crate::round::Phase;
 use crate::state::{Actor, FEATURES, blend};
 
-/// s; interval between steps of the shares.
+/// s; interval between steps of the shares, the start value of the LTS design.
 pub(super) const SHARE_STEP_INTERVAL: f64 = 2.0;
 /// Steps for which loads and penalties are kept for each node; k in the LTS paper.
 const STEP_HISTORY: usize = 20;
@@ -19,7 +19,7 @@
 const MAX_RAISE_SCALE_NODES: f64 = 16.0;
 /// Lowest share over the share by size; above 0 so that no node is forgotten.
 const MIN_SHARE: f64 = 0.2;
-/// Highest share over the share by size.
+/// Highest share over the share by size, the limit of the LTS design.
 const MAX_SHARE: f64 = 2.0;
 /// Change of a weight for each unit of advantage; low, because payoffs are noisy.
 const LEARNING_RATE: f64 = 0.05;
