--- a/crates/kelpdoor-platform/src/media.rs
+++ b/crates/kelpdoor-platform/src/media.rs
@@ -84,7 +84,7 @@
 }
 
 fn parse_notification(headers: &Headers) -> Option<NodeNotification> {
-    let value: f64 = headers.parse_value("X-Measurement").filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
+    let value: f64 = headers.parse_value("X-Reading").filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
     Some(match headers.get("X-Outcome")? {
         "fill" => NodeNotification::Delivered(value),
         "grade" => NodeNotification::Rung(value as u8),
