--- a/crates/kelpdoor-script/src/deployment.rs
+++ b/crates/kelpdoor-script/src/deployment.rs
@@ -604,10 +604,10 @@
                 Err(error) => self.errors.push(error),
                 Ok(s) => {
                     let names = [Some(&s.name), s.seat_class.as_ref()];
-                    let good = |n: &String| !n.is_empty() && n.len() <= 128 && !n.contains(':');
+                    let is_valid = |n: &String| !n.is_empty() && n.len() <= 128 && !n.contains(':');
                     self.check(
                         call,
-                        names.into_iter().flatten().all(good),
+                        names.into_iter().flatten().all(is_valid),
                         "name and seat_class must have 1 to 128 bytes and no colon",
                     );
                     let taken = schools.iter().any(|o| (&o.name, &o.seat_class) == (&s.name, &s.seat_class));
@@ -664,8 +664,8 @@
                 Err(error) => self.errors.push(error),
                 Ok(t) => {
                     let plain = |b: u8| b.is_ascii_alphanumeric() || b"._~-".contains(&b);
-                    let good = (1..=128).contains(&t.name.len()) && t.name.bytes().all(plain);
-                    self.check(call, good, "name must have 1 to 128 letters, digits and . _ ~ -");
+                    let valid = (1..=128).contains(&t.name.len()) && t.name.bytes().all(plain);
+                    self.check(call, valid, "name must have 1 to 128 letters, digits and . _ ~ -");
                     let within = t.first_cell < fleet.cells && (1..=fleet.cells).contains(&t.cells);
                     self.check(
                         call,
