--- a/crates/kelpdoor-director/src/following.rs
+++ b/crates/kelpdoor-director/src/agreed_rules.rs
@@ -8,7 +8,7 @@
 use kelpdoor_agreement::keys::MergedRules;
 use kelpdoor_agreement::{Chosen, Follower, Rules, VoterId};
 use kelpdoor_clock::BootClock;
-use kelpdoor_keeper::{Heard, Lines, addresses};
+use kelpdoor_keeper::{ConnectionEvent, VoterConnections, voter_addresses};
 use kelpdoor_script::{Agreement, Deployment, LocalSettings};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, watch};
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// Where the copy is another fleet's.
-pub fn kept(of: &Agreement) -> anyhow::Result<Option<Chosen>> {
+pub fn load_cached_version(of: &Agreement) -> anyhow::Result<Option<Chosen>> {
     let Some(path) = &of.copy else { return Ok(None) };
     // Knowledge alone, which any voter has: a damaged one is done without.
     let copy = kelpdoor_kept::load::<Copy>(path, FORMAT).unwrap_or_else(|e| {
@@ -48,9 +48,9 @@
 
 /// What may be acted on, as of its last change.
 #[derive(Clone, Debug)]
-pub struct Ruling<B = Deployment> {
+pub struct RulesInForce<B = Deployment> {
     /// What is read of the versions acted on.
-    pub book: Arc<B>,
+    pub settings: Arc<B>,
     /// Versions, the newest first.
     pub label: String,
     /// The newest version's list names this director; else it begins nothing.
@@ -60,7 +60,7 @@
     pub until: f64,
 }
 
-impl<B> Ruling<B> {
+impl<B> RulesInForce<B> {
     /// Until when something new may be begun, as of now; past, if it may not.
     pub fn lease(&self, now: f64) -> f64 {
         if self.listed && now >= self.from { self.until } else { f64::NEG_INFINITY }
@@ -68,16 +68,16 @@
 }
 
 /// The part in an agreement of a director, or of whoever goes by what `B` reads of it, at work.
-pub struct Following<B = Deployment> {
-    pub(crate) ruling: watch::Receiver<Ruling<B>>,
+pub struct RulesFollower<B = Deployment> {
+    pub(crate) ruling: watch::Receiver<RulesInForce<B>>,
     pub(crate) steady: BootClock,
     pub(crate) wall_off: Option<PathBuf>,
     pub(crate) tasks: JoinSet<()>,
 }
 
-impl<B: Clone + Send + Sync + 'static> Following<B> {
+impl<B: Clone + Send + Sync + 'static> RulesFollower<B> {
     /// What may be acted on, as of now.
-    pub fn ruling(&self) -> Ruling<B> {
+    pub fn rules(&self) -> RulesInForce<B> {
         self.ruling.borrow().clone()
     }
 
@@ -93,48 +93,48 @@
     ///
     /// # Errors
     /// Where a kept copy is another fleet's, or no version reads.
-    pub async fn reading<R>(
+    pub async fn start_with<R>(
         of: Agreement, own: R::LocalSettings, book: impl Fn(&R) -> (B, bool) + Send + 'static,
     ) -> anyhow::Result<Self>
     where
         R: Rules<LocalSettings: Send + Sync> + Send + Sync + 'static,
     {
         let steady = BootClock::new(of.clock_rate);
-        let kept = kept(&of)?;
+        let kept = load_cached_version(&of)?;
         let (first, mut waits) = mpsc::channel(1);
         let mut tasks = JoinSet::new();
         let wall_off = of.wall_off.clone();
         let follower = Follower::<R>::new(&of.name, fastrand::u64(..), kept, own);
         tasks.spawn(follow(of, follower, steady, book, first));
         let Some(ruling) = waits.recv().await else { anyhow::bail!("no version of the rules reads") };
-        Ok(Following { ruling, steady, wall_off, tasks })
+        Ok(RulesFollower { ruling, steady, wall_off, tasks })
     }
 }
 
-impl Following {
-    /// As [`reading`](Self::reading), all settings of a director.
+impl RulesFollower {
+    /// As [`start_with`](Self::start_with), all settings of a director.
     ///
     /// # Errors
     /// As there.
-    pub async fn start(own: LocalSettings) -> anyhow::Result<(Following, Deployment)> {
+    pub async fn start(own: LocalSettings) -> anyhow::Result<(RulesFollower, Deployment)> {
         let book = |a: &MergedRules| (a.deployment(), a.listed);
-        let following = Following::reading(own.agreement.clone(), own, book).await?;
-        let book = Deployment::clone(&following.ruling().book);
+        let following = RulesFollower::start_with(own.agreement.clone(), own, book).await?;
+        let book = Deployment::clone(&following.rules().settings);
         Ok((following, book))
     }
 }
 
 async fn follow<B: Clone + Send + Sync + 'static, R: Rules>(
     of: Agreement, mut follower: Follower<R>, steady: BootClock, read: impl Fn(&R) -> (B, bool),
-    first: mpsc::Sender<watch::Receiver<Ruling<B>>>,
+    first: mpsc::Sender<watch::Receiver<RulesInForce<B>>>,
 ) {
     let (to, mut words) = mpsc::channel(WORDS);
-    let mut lines = Lines::new(&of.fleet, to);
+    let mut lines = VoterConnections::new(&of.fleet, to);
     dial(&mut lines, &of, &mut follower);
     let (save, saved) = watch::channel(None);
     let mut keeps = JoinSet::new();
     keeps.spawn(keep(of.copy.clone(), of.fleet.clone(), saved));
-    let mut told: Option<watch::Sender<Ruling<B>>> = None;
+    let mut told: Option<watch::Sender<RulesInForce<B>>> = None;
     let mut said = Said::default();
     loop {
         let now = steady.now();
@@ -148,14 +148,14 @@
             let (from, until) = (acting.from, acting.until);
             let before = told.as_ref().map(|t| t.borrow().clone()).filter(|r| r.label == label);
             let ruling = match before {
-                Some(r) => Some(Ruling { from, until, ..r }),
+                Some(r) => Some(RulesInForce { from, until, ..r }),
                 None => follower.rules(now).map(|rules| {
                     let (book, listed) = read(&rules);
                     if !listed {
                         tracing::error!(name = of.name, %label, "the agreed list does not name this director");
                     }
                     tracing::info!(%label, "rules");
-                    Ruling { book: Arc::new(book), label, listed, from, until }
+                    RulesInForce { settings: Arc::new(book), label, listed, from, until }
                 }),
             };
             if let Some(ruling) = ruling {
@@ -190,8 +190,8 @@
         };
         let Some((voter, heard)) = word.filter(|(voter, _)| lines.has(*voter)) else { continue };
         match heard {
-            Heard::Connected => follower.connected(voter),
-            Heard::Told(tell) => {
+            ConnectionEvent::Connected => follower.connected(voter),
+            ConnectionEvent::Response(tell) => {
                 let before = follower.known_version().map_or(0, |c| c.number);
                 if let Err(why) = follower.handle_response(steady.now(), voter, tell) {
                     said.refused(voter, why);
@@ -206,9 +206,9 @@
 }
 
 /// Keeps lines to the voters that the known version names, and to those of the settings: they may know a newer one.
-fn dial<R: Rules>(lines: &mut Lines, own: &Agreement, follower: &mut Follower<R>) {
+fn dial<R: Rules>(lines: &mut VoterConnections, own: &Agreement, follower: &mut Follower<R>) {
     let known = follower.newest_rules().map(|r| r.addresses());
-    for gone in lines.dial(addresses(&own.voters, known, &own.reach)) {
+    for gone in lines.dial(voter_addresses(&own.voters, known, &own.reach)) {
         follower.remove_voter(gone);
     }
 }
@@ -221,7 +221,7 @@
 }
 
 impl Said {
-    fn lease<B>(&mut self, now: f64, ruling: &Ruling<B>) {
+    fn lease<B>(&mut self, now: f64, ruling: &RulesInForce<B>) {
         let acts = now < ruling.lease(now);
         if self.acts.replace(acts) == Some(acts) {
             return;
--- a/crates/kelpdoor-director/src/keeping.rs
+++ b/crates/kelpdoor-director/src/keeper_client.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-use kelpdoor_keeper::{Ask, KeeperOptions, RunningKeeper, Tell};
+use kelpdoor_keeper::{KeeperClientMessage, KeeperOptions, KeeperServerMessage, RunningKeeper};
 use kelpdoor_script::{Keeper, School};
 use kelpdoor_seats::{KeeperRequest, LeaseTerms};
 use kelpdoor_tokens::seat_pool;
@@ -29,13 +29,13 @@
         listen: keeper.listen.unwrap_or_else(|| SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
         ledger: keeper.ledger.clone(),
         lease: LeaseTerms { duration: keeper.lease, clock_error: keeper.clock_error },
-        schools: pools(schools),
+        schools: seat_pools(schools),
         agreed: None,
     }
 }
 
 /// Schools as a keeper counts them.
-pub fn pools(schools: &[School]) -> Vec<(kelpdoor_seats::School, u32)> {
+pub fn seat_pools(schools: &[School]) -> Vec<(kelpdoor_seats::School, u32)> {
     schools.iter().map(|s| (seat_pool(&s.name, s.seat_class.as_deref()), s.seats)).collect()
 }
 
@@ -98,13 +98,13 @@
                 Ok(_) if !line.ends_with(b"\n") => return "a line too long or cut short".to_owned(),
                 Ok(_) => {}
             }
-            match serde_json::from_slice::<Tell>(&line) {
-                Ok(Tell::Word(word)) => {
+            match serde_json::from_slice::<KeeperServerMessage>(&line) {
+                Ok(KeeperServerMessage::Response(word)) => {
                     // Where the desk has ended nobody hears it; what the desk still said is written below.
                     let _ = inputs.send((Instant::now(), Input::Keeper(word))).await;
                 }
-                Ok(Tell::Fault(why)) => return why,
-                Ok(Tell::Standing { .. }) => {}
+                Ok(KeeperServerMessage::Error(why)) => return why,
+                Ok(KeeperServerMessage::Status { .. }) => {}
                 Err(e) => return format!("not a word of a keeper's: {e}"),
             }
         }
@@ -115,7 +115,7 @@
             text.clear();
             let mut next = Some(word);
             while let Some(word) = next.take() {
-                serde_json::to_writer(&mut text, &Ask::Word(word)).expect("plain data");
+                serde_json::to_writer(&mut text, &KeeperClientMessage::Request(word)).expect("plain data");
                 text.push(b'\n');
                 next = words.try_recv().ok().filter(|_| text.len() < 1 << 16);
             }
--- a/crates/kelpdoor-director/src/lib.rs
+++ b/crates/kelpdoor-director/src/lib.rs
@@ -2,25 +2,25 @@
 //! effects, without I/O; [`serve`] owns sockets and timers round it and has no rule of its own. Two directors in
 //! one process share nothing.
 
+mod agreed_rules;
 mod desk;
 pub mod effect;
-mod following;
 mod gate;
 pub mod journal;
-mod keeping;
+mod keeper_client;
 mod link;
 mod roster;
 mod session;
 mod shell;
 mod store;
 mod timers;
-mod verify;
+mod token_verifier;
 
+pub use agreed_rules::{RulesFollower, RulesInForce, load_cached_version};
 pub use desk::{Counts, Desk};
 pub use effect::{Effect, Input, NodeWord, Shown};
-pub use following::{Following, Ruling, kept};
 pub use gate::{Gate, Pass};
-pub use keeping::{keeper_options, pools};
+pub use keeper_client::{keeper_options, seat_pools};
 pub use kelpdoor_clock::{SlewedClock, SlewedTime};
 pub use roster::{
     FromRoster, MAX_LINE, MAX_NODES, MAX_TITLES, Phase, RosterFault, RosterList, RosterNode, RosterTitle,
--- a/crates/kelpdoor-director/src/shell.rs
+++ b/crates/kelpdoor-director/src/shell.rs
@@ -29,15 +29,15 @@
 use tokio_tungstenite::tungstenite::protocol::{CloseFrame, Message, WebSocketConfig};
 use tokio_tungstenite::tungstenite::{Error as WsError, error::CapacityError};
 
+use crate::agreed_rules::{RulesFollower, RulesInForce};
 use crate::desk::{Counts, Desk};
 use crate::effect::{Effect, Input, NodeWord};
-use crate::following::{Following, Ruling};
 use crate::gate::{Gate, Pass};
 use crate::journal;
-use crate::keeping;
+use crate::keeper_client;
 use crate::roster::{FromRoster, MAX_LINE, RosterList, ToRoster};
 use crate::store::{load_list, save_list};
-use crate::verify::Verifier;
+use crate::token_verifier::TokenVerifier;
 
 /// Inputs waiting for the desk at most; readers wait beyond it, and so do their peers.
 const INPUTS: usize = 8192;
@@ -65,8 +65,8 @@
 /// How a director is started.
 pub struct ServeOptions {
     pub deployment: Deployment,
-    /// Where rules are agreed: the deployment is what [`Following::start`] gave with it.
-    pub agreed: Option<Following>,
+    /// Where rules are agreed: the deployment is what [`RulesFollower::start`] gave with it.
+    pub agreed: Option<RulesFollower>,
     /// Where all inputs and effects are written, for a replay.
     pub journal: Option<PathBuf>,
 }
@@ -145,7 +145,7 @@
 pub async fn serve(options: ServeOptions) -> io::Result<Running> {
     let book = Arc::new(options.deployment);
     let agreed = options.agreed;
-    let verifier = Verifier::new(&book)?;
+    let verifier = TokenVerifier::new(&book)?;
     let listener = TcpListener::bind(book.director.listen).await?;
     let address = listener.local_addr()?;
     let seed = book.director.seed.unwrap_or_else(|| fastrand::u64(..));
@@ -161,9 +161,9 @@
     let mut words = None;
     let mut keeping = JoinSet::new();
     if let (Some(of), Some(verifier)) = (&book.keeper, &verifier) {
-        let (at, running) = keeping::find(of, &book.schools).await?;
+        let (at, running) = keeper_client::find(of, &book.schools).await?;
         let (to, from) = mpsc::channel(WORDS);
-        keeping.spawn(keeping::follow(at, inputs.clone(), from));
+        keeping.spawn(keeper_client::follow(at, inputs.clone(), from));
         (keeper, words) = (running, Some(to));
         tasks.spawn(verifier.clone().follow_keys());
     }
@@ -179,7 +179,7 @@
         ask,
         socks: HashMap::new(),
         links: HashMap::new(),
-        agreed: agreed.map(|Following { ruling, steady, tasks: following, .. }| {
+        agreed: agreed.map(|RulesFollower { ruling, steady, tasks: following, .. }| {
             // Ended with the shell.
             tasks.spawn(async move {
                 let mut following = following;
@@ -202,7 +202,7 @@
 
 /// Rules that others have too: what may be acted on, and what the desk was told of it.
 struct Agreed {
-    ruling: watch::Receiver<Ruling>,
+    ruling: watch::Receiver<RulesInForce>,
     steady: BootClock,
     label: String,
     /// Steady time, until when something new may leave.
@@ -365,7 +365,7 @@
             agreed.told = until;
         }
         if let Some(label) = label {
-            let book = Box::new(Deployment::clone(&ruling.book));
+            let book = Box::new(Deployment::clone(&ruling.settings));
             self.take(desk, now, (Instant::now(), Input::Rules { book, label }));
         }
         if moved {
@@ -603,7 +603,7 @@
 
 async fn accept(
     listener: TcpListener, book: Arc<Deployment>, inputs: mpsc::Sender<Came>,
-    socks: mpsc::UnboundedSender<ToSocks>, verifier: Option<Arc<Verifier>>,
+    socks: mpsc::UnboundedSender<ToSocks>, verifier: Option<Arc<TokenVerifier>>,
 ) {
     let room = Arc::new(Semaphore::new(book.players.sockets));
     let refusals = Arc::new(Semaphore::new(REFUSALS));
@@ -682,7 +682,7 @@
 }
 
 /// Takes the token out of a message that came with one and says what it is.
-fn show(sock: u64, mut message: FromPlayer, by: Option<(&Verifier, &mut Gate)>) -> Input {
+fn show(sock: u64, mut message: FromPlayer, by: Option<(&TokenVerifier, &mut Gate)>) -> Input {
     let token = match &mut message {
         FromPlayer::Start { group, token, .. } => {
             let token = token.take();
@@ -703,7 +703,7 @@
 /// A player's socket, to its end.
 async fn attend(
     sock: u64, ws: WebSocketStream<TcpStream>, book: &Deployment, inputs: &mpsc::Sender<Came>,
-    socks: &mpsc::UnboundedSender<ToSocks>, verifier: Option<&Verifier>,
+    socks: &mpsc::UnboundedSender<ToSocks>, verifier: Option<&TokenVerifier>,
 ) {
     let (mut sink, mut stream) = ws.split();
     let (to, mut from) = mpsc::unbounded_channel();
@@ -718,7 +718,7 @@
     let started = Instant::now();
     let reader = async {
         let mut gate = Gate::new(book.players.messages_a_second, 0.0);
-        let mut tokens = verifier.map(Verifier::socket_gate);
+        let mut tokens = verifier.map(TokenVerifier::socket_gate);
         loop {
             let message = match timeout(idle, stream.next()).await {
                 Err(_) => return Some((CloseCode::Policy, "nothing came for too long")),
--- a/crates/kelpdoor-director/src/verify.rs
+++ b/crates/kelpdoor-director/src/token_verifier.rs
@@ -13,7 +13,7 @@
 use crate::effect::Shown;
 use crate::gate::{Gate, Pass};
 
-pub struct Verifier {
+pub struct TokenVerifier {
     book: Tokens,
     rules: TokenRules,
     keys: RwLock<Arc<KeySet>>,
@@ -30,7 +30,7 @@
     Ok((text, keys))
 }
 
-impl Verifier {
+impl TokenVerifier {
     /// With the key set read; `None` where no group needs tokens.
     ///
     /// # Errors
@@ -45,7 +45,7 @@
             clock_error: tokens.clock_error,
             max_lifetime: tokens.longest,
         };
-        Ok(Some(Arc::new(Verifier {
+        Ok(Some(Arc::new(TokenVerifier {
             rules,
             keys: RwLock::new(Arc::new(keys)),
             gate: Mutex::new(Gate::new(tokens.a_second, 0.0)),
--- a/crates/kelpdoor-director/tests/following.rs
+++ b/crates/kelpdoor-director/tests/following.rs
@@ -6,7 +6,7 @@
 
 use kelpdoor_agreement::{ClientRequest, Value, VoterId, VoterResponse};
 use kelpdoor_clock::BootClock;
-use kelpdoor_director::{Following, Ruling};
+use kelpdoor_director::{RulesFollower, RulesInForce};
 use kelpdoor_keeper::{RunningVoter, VoterOptions, start_voter};
 use kelpdoor_script::LocalSettings;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -88,11 +88,11 @@
 }
 
 /// Waits until what may be acted on is as wanted.
-async fn until(following: &mut Following, wanted: impl Fn(&Ruling, f64) -> bool) -> Ruling {
+async fn until(following: &mut RulesFollower, wanted: impl Fn(&RulesInForce, f64) -> bool) -> RulesInForce {
     let steady = BootClock::new(1.0);
     timeout(LONG, async {
         loop {
-            let ruling = following.ruling();
+            let ruling = following.rules();
             if wanted(&ruling, steady.now()) {
                 return ruling;
             }
@@ -108,13 +108,13 @@
     let dir = tempfile::tempdir().unwrap();
     let (voters, _running) = three(dir.path()).await;
     agree(voters[0], 0, DOCUMENT).await;
-    let (mut first, book) = Following::start(own(dir.path(), "a", &voters)).await.unwrap();
+    let (mut first, book) = RulesFollower::start(own(dir.path(), "a", &voters)).await.unwrap();
     assert_eq!((book.director.me, book.director.of), (0, 2));
     until(&mut first, |r, now| now < r.lease(now)).await;
     drop(first);
     // No newer version comes: what it kept is the newest, and the first voter's word of it no permission yet.
-    let (mut again, _) = Following::start(own(dir.path(), "a", &voters)).await.unwrap();
-    let kept = again.ruling();
+    let (mut again, _) = RulesFollower::start(own(dir.path(), "a", &voters)).await.unwrap();
+    let kept = again.rules();
     assert!(kept.label.starts_with("1/") && kept.lease(f64::MAX) == f64::NEG_INFINITY, "{kept:?}");
     let r = until(&mut again, |r, now| now < r.lease(now)).await;
     assert!(r.label.starts_with("1/") && r.listed, "{r:?}");
@@ -125,6 +125,6 @@
     until(&mut again, |r, now| r.until > now + 0.1 && r.lease(now) == f64::NEG_INFINITY).await;
     // A damaged copy is done without: the voters have what it had.
     std::fs::write(dir.path().join("b.rules"), "kelpdoor-agreed 1 00000000\n{}").unwrap();
-    let (mut other, _) = Following::start(own(dir.path(), "b", &voters)).await.unwrap();
+    let (mut other, _) = RulesFollower::start(own(dir.path(), "b", &voters)).await.unwrap();
     until(&mut other, |r, now| r.label.starts_with("2/") && now < r.lease(now)).await;
 }
--- a/crates/kelpdoor-keeper/benches/grants.rs
+++ b/crates/kelpdoor-keeper/benches/grants.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Instant;
 
-use kelpdoor_keeper::{Ask, KeeperOptions, Log, start};
+use kelpdoor_keeper::{KeeperClientMessage, KeeperOptions, Log, start};
 use kelpdoor_seats::{Change, DirectorId, Epoch, KeeperRequest, LeaseTerms, Ledger, School, TokenId};
 use redb::{Database, TableDefinition};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -68,7 +68,7 @@
     let (read, mut write) = TcpStream::connect(keeper.address).await.expect("connected").into_split();
     let mut lines = BufReader::new(read).lines();
     let line = |word| {
-        let mut text = serde_json::to_vec(&Ask::Word(word)).expect("plain");
+        let mut text = serde_json::to_vec(&KeeperClientMessage::Request(word)).expect("plain");
         text.push(b'\n');
         text
     };
--- a/crates/kelpdoor-keeper/src/lib.rs
+++ b/crates/kelpdoor-keeper/src/lib.rs
@@ -6,16 +6,18 @@
 //! together. The log holds records of changes, each with its length and checksums: one cut short at the end was never
 //! answered for and is dropped, anything else that is not as it was written is named and nothing is loaded.
 
-mod line;
 mod log;
 mod serve;
 mod sockets;
 mod voter;
+mod voter_connections;
 mod wire;
 
-pub use line::{Heard, Lines};
-pub use log::{Log, LogFault, Opened};
-pub use serve::{Agreed, DIRECTORS, KeeperOptions, RunningKeeper, Sold, start};
-pub use sockets::CONNS;
-pub use voter::{READING, RunningVoter, VoterOptions, addresses, read, start as start_voter};
-pub use wire::{Ask, MAX_LINE, SchoolStanding, Tell};
+pub use log::{Log, LogError, OpenedLog};
+pub use serve::{AgreedSchools, KeeperOptions, MAX_CONNECTED_DIRECTORS, RunningKeeper, SchoolSeats, start};
+pub use sockets::MAX_CONNECTIONS;
+pub use voter::{
+    DOCUMENT_READER, RunningVoter, VoterOptions, parse_document, start as start_voter, voter_addresses,
+};
+pub use voter_connections::{ConnectionEvent, VoterConnections};
+pub use wire::{KeeperClientMessage, KeeperServerMessage, MAX_LINE, SchoolSeatCounts};
--- a/crates/kelpdoor-keeper/src/log.rs
+++ b/crates/kelpdoor-keeper/src/log.rs
@@ -14,7 +14,7 @@
 const CHUNK: usize = 1000;
 
 #[derive(Debug, thiserror::Error)]
-pub enum LogFault {
+pub enum LogError {
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
     #[error("{0}: it does not begin with \"kelpdoor-ledger 1\"")]
@@ -27,11 +27,11 @@
 
 /// What a log held.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedLog {
     pub log: Log,
     pub changes: Vec<Change>,
     /// Bytes of a last record that was cut short; it was never answered for, and is gone.
-    pub torn: usize,
+    pub truncated_bytes: usize,
 }
 
 #[derive(Debug)]
@@ -62,7 +62,7 @@
 }
 
 /// All changes, and where the last whole record ends.
-fn read(path: &Path, bytes: &[u8]) -> Result<(Vec<Change>, usize), LogFault> {
+fn read(path: &Path, bytes: &[u8]) -> Result<(Vec<Change>, usize), LogError> {
     let mut changes: Vec<Change> = Vec::new();
     let mut at = FORMAT.len();
     while at < bytes.len() {
@@ -75,14 +75,14 @@
             if rest.iter().all(|b| *b == 0) {
                 break;
             }
-            return Err(LogFault::Record(path.to_owned(), at));
+            return Err(LogError::Record(path.to_owned(), at));
         }
         let Some(body) = rest[HEADER..].get(..word(rest, 0) as usize) else { break };
         if rest[4..8] != sum(body) {
-            return Err(LogFault::Record(path.to_owned(), at));
+            return Err(LogError::Record(path.to_owned(), at));
         }
         let of: Vec<Change> =
-            serde_json::from_slice(body).map_err(|e| LogFault::Content(path.to_owned(), at, e))?;
+            serde_json::from_slice(body).map_err(|e| LogError::Content(path.to_owned(), at, e))?;
         changes.extend(of);
         at += HEADER + body.len();
     }
@@ -94,8 +94,8 @@
     ///
     /// # Errors
     /// Where it cannot be read or is not as it was written; the file stays as it is then.
-    pub fn open(path: &Path) -> Result<Opened, LogFault> {
-        let io = |e| LogFault::Io(path.to_owned(), e);
+    pub fn open(path: &Path) -> Result<OpenedLog, LogError> {
+        let io = |e| LogError::Io(path.to_owned(), e);
         let mut options = OpenOptions::new();
         let mut file = options.read(true).write(true).create(true).truncate(false).open(path).map_err(io)?;
         let mut bytes = Vec::new();
@@ -109,7 +109,7 @@
             bytes = FORMAT.to_vec();
         }
         if !bytes.starts_with(FORMAT) {
-            return Err(LogFault::Format(path.to_owned()));
+            return Err(LogError::Format(path.to_owned()));
         }
         let (changes, end) = read(path, &bytes)?;
         let torn = bytes.len() - end;
@@ -119,7 +119,7 @@
         }
         file.seek(SeekFrom::Start(end as u64)).map_err(io)?;
         let log = Log { path: path.to_owned(), file, bytes: end as u64 };
-        Ok(Opened { log, changes, torn })
+        Ok(OpenedLog { log, changes, truncated_bytes: torn })
     }
 
     /// Writes changes down, as one record that is there whole or not at all; on disk when this returns.
--- a/crates/kelpdoor-keeper/src/serve.rs
+++ b/crates/kelpdoor-keeper/src/serve.rs
@@ -13,12 +13,12 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-use crate::log::{Log, Opened};
-use crate::sockets::{Came, accept};
-use crate::wire::{Ask, MAX_LINE, SchoolStanding, Tell};
+use crate::log::{Log, OpenedLog};
+use crate::sockets::{SocketEvent, accept};
+use crate::wire::{KeeperClientMessage, KeeperServerMessage, MAX_LINE, SchoolSeatCounts};
 
 /// Directors with a connection at most; words of more are not answered.
-pub const DIRECTORS: usize = 20_000;
+pub const MAX_CONNECTED_DIRECTORS: usize = 20_000;
 /// Lines waiting for the loop at most; readers wait beyond it.
 const ASKS: usize = 4096;
 /// Lines written down together at most.
@@ -37,12 +37,12 @@
     pub lease: LeaseTerms,
     pub schools: Vec<(School, u32)>,
     /// Where schools are agreed: what to go by instead.
-    pub agreed: Option<Agreed>,
+    pub agreed: Option<AgreedSchools>,
 }
 
 /// Schools under a lease, as of its last change.
 #[derive(Clone, Debug)]
-pub struct Sold {
+pub struct SchoolSeats {
     pub schools: Vec<(School, u32)>,
     /// Of the versions, for the log.
     pub label: String,
@@ -51,28 +51,28 @@
     pub until: f64,
 }
 
-impl Sold {
+impl SchoolSeats {
     /// Before any version is known.
-    pub fn nothing() -> Self {
+    pub fn unknown() -> Self {
         let (from, until) = (f64::INFINITY, f64::NEG_INFINITY);
-        Sold { schools: Vec::new(), label: String::new(), from, until }
+        SchoolSeats { schools: Vec::new(), label: String::new(), from, until }
     }
 }
 
 /// Who tells what is agreed, and what leases are counted by.
-pub struct Agreed {
-    pub sold: watch::Receiver<Sold>,
-    pub steady: BootClock,
+pub struct AgreedSchools {
+    pub seats: watch::Receiver<SchoolSeats>,
+    pub clock: BootClock,
 }
 
 enum Come {
-    Socket(Came<Ask, Tell>),
+    Socket(SocketEvent<KeeperClientMessage, KeeperServerMessage>),
     Bought(Vec<(School, u32)>),
     End,
 }
 
-impl From<Came<Ask, Tell>> for Come {
-    fn from(came: Came<Ask, Tell>) -> Self {
+impl From<SocketEvent<KeeperClientMessage, KeeperServerMessage>> for Come {
+    fn from(came: SocketEvent<KeeperClientMessage, KeeperServerMessage>) -> Self {
         Come::Socket(came)
     }
 }
@@ -86,7 +86,7 @@
 
 impl RunningKeeper {
     /// Schools and their seats from now on; a school that is not named any more has none.
-    pub async fn buy(&self, schools: Vec<(School, u32)>) {
+    pub async fn set_schools(&self, schools: Vec<(School, u32)>) {
         let _ = self.to.send(Come::Bought(schools)).await;
     }
 
@@ -118,7 +118,7 @@
     let mut log = None;
     if let Some(path) = options.ledger {
         let opened = tokio::task::spawn_blocking(move || Log::open(&path)).await?;
-        let Opened { log: of, changes, torn } = opened.map_err(io::Error::other)?;
+        let OpenedLog { log: of, changes, truncated_bytes: torn } = opened.map_err(io::Error::other)?;
         if torn > 0 {
             tracing::warn!(
                 torn,
@@ -143,7 +143,7 @@
         agreed: options.agreed,
         sells: None,
     };
-    keeper.buy(options.schools);
+    keeper.set_schools(options.schools);
     keeper.keep().await.map_err(io::Error::other)?;
     let task = tokio::spawn(keeper.run(from, listener, to.clone()));
     Ok(RunningKeeper { address, to, task })
@@ -160,12 +160,12 @@
     ledger: Ledger,
     log: Option<Log>,
     rewrite_at: u64,
-    conns: HashMap<u64, mpsc::Sender<Tell>>,
+    conns: HashMap<u64, mpsc::Sender<KeeperServerMessage>>,
     /// Where each director was last heard.
     at: HashMap<DirectorId, u64>,
     /// Answers that wait for the log.
-    out: Vec<(u64, Tell)>,
-    agreed: Option<Agreed>,
+    out: Vec<(u64, KeeperServerMessage)>,
+    agreed: Option<AgreedSchools>,
     /// The versions by which seats are given out now, if they may be; empty before it was looked at.
     sells: Option<String>,
 }
@@ -195,7 +195,12 @@
     ) -> Result<(), String> {
         // Ended with this task, however that ends.
         let mut listen = JoinSet::new();
-        listen.spawn(accept::<Ask, Tell, Come>(listener, to, MAX_LINE, Tell::Fault));
+        listen.spawn(accept::<KeeperClientMessage, KeeperServerMessage, Come>(
+            listener,
+            to,
+            MAX_LINE,
+            KeeperServerMessage::Error,
+        ));
         let done = self.work(&mut from).await;
         if let Err(why) = &done {
             tracing::error!(%why, "the keeper of seats ends");
@@ -236,45 +241,52 @@
     /// Whether that was the end.
     fn come(&mut self, now: f64, come: Come) -> bool {
         match come {
-            Come::Socket(Came::Opened(conn, to)) => {
+            Come::Socket(SocketEvent::Opened(conn, to)) => {
                 self.conns.insert(conn, to);
             }
-            Come::Socket(Came::Closed(conn)) => {
+            Come::Socket(SocketEvent::Closed(conn)) => {
                 self.conns.remove(&conn);
                 self.at.retain(|_, at| *at != conn);
             }
-            Come::Socket(Came::Asked(conn, Ask::Word(word))) => {
+            Come::Socket(SocketEvent::Received(conn, KeeperClientMessage::Request(word))) => {
                 // At each claim: we may have stood still since the last.
                 self.look();
                 let from = director(&word);
-                if self.at.len() >= DIRECTORS && !self.at.contains_key(&from) {
+                if self.at.len() >= MAX_CONNECTED_DIRECTORS && !self.at.contains_key(&from) {
                     return false;
                 }
                 self.at.insert(from, conn);
                 for (to, word) in self.ledger.handle_request(now, &word) {
                     if let Some(conn) = self.at.get(&to) {
-                        self.out.push((*conn, Tell::Word(word)));
+                        self.out.push((*conn, KeeperServerMessage::Response(word)));
                     }
                 }
             }
-            Come::Socket(Came::Asked(conn, Ask::Standing)) => {
+            Come::Socket(SocketEvent::Received(conn, KeeperClientMessage::Status)) => {
                 let tell = self.standing(now);
                 self.out.push((conn, tell));
             }
-            Come::Bought(schools) => self.buy(schools),
+            Come::Bought(schools) => self.set_schools(schools),
             Come::End => return true,
         }
         false
     }
 
-    fn standing(&self, now: f64) -> Tell {
+    fn standing(&self, now: f64) -> KeeperServerMessage {
         let of = |school: &School| {
             let s = self.ledger.status(school);
             let expiring = self.ledger.expiring(school, now + EXPIRING);
             let school = school.0.clone();
-            SchoolStanding { school, bought: s.bought, held: s.held, lent: s.leased, free: s.free, expiring }
+            SchoolSeatCounts {
+                school,
+                bought: s.bought,
+                held: s.held,
+                leased: s.leased,
+                free: s.free,
+                expiring,
+            }
         };
-        Tell::Standing {
+        KeeperServerMessage::Status {
             directors: self.ledger.directors(),
             schools: self.ledger.schools().map(of).collect(),
         }
@@ -283,8 +295,8 @@
     /// Where schools are agreed: those of the lease, or none.
     fn look(&mut self) {
         let Some(agreed) = &mut self.agreed else { return };
-        let now = agreed.steady.now();
-        let sold = agreed.sold.borrow_and_update();
+        let now = agreed.clock.now();
+        let sold = agreed.seats.borrow_and_update();
         let sells = (sold.from <= now && now < sold.until).then(|| sold.label.clone());
         if self.sells == sells {
             return;
@@ -298,10 +310,10 @@
             }
         }
         self.sells = sells;
-        self.buy(schools);
+        self.set_schools(schools);
     }
 
-    fn buy(&mut self, schools: Vec<(School, u32)>) {
+    fn set_schools(&mut self, schools: Vec<(School, u32)>) {
         let mut all: HashMap<School, u32> = self.ledger.schools().map(|s| (s.clone(), 0)).collect();
         all.extend(schools);
         let mut all: Vec<_> = all.into_iter().collect();
--- a/crates/kelpdoor-keeper/src/sockets.rs
+++ b/crates/kelpdoor-keeper/src/sockets.rs
@@ -14,15 +14,15 @@
 
 /// Connections at most; more are closed at once, and directors come again. One of each director that a document may name, and
 /// operators, voters and connections that end.
-pub const CONNS: usize = 10_000;
+pub const MAX_CONNECTIONS: usize = 10_000;
 /// Answers waiting for one connection at most; beyond it the connection is closed.
 const ANSWERS: usize = 8192;
 
 /// What a listener's connections bring.
-pub enum Came<A, T> {
+pub enum SocketEvent<A, T> {
     Opened(u64, mpsc::Sender<T>),
     Closed(u64),
-    Asked(u64, A),
+    Received(u64, A),
 }
 
 /// Takes connections and reads their lines until it is dropped. `fault` makes a last answer of what was wrong with a line.
@@ -31,9 +31,9 @@
 ) where
     A: DeserializeOwned + Send + 'static,
     T: Serialize + Send + 'static,
-    C: From<Came<A, T>> + Send + 'static,
+    C: From<SocketEvent<A, T>> + Send + 'static,
 {
-    let room = Arc::new(Semaphore::new(CONNS));
+    let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut tasks = JoinSet::new();
     let mut next = 0;
     loop {
@@ -52,18 +52,18 @@
         tasks.spawn(async move {
             let _ = stream.set_nodelay(true);
             attend::<A, T, C>(conn, stream, &to, max_line, fault).await;
-            let _ = to.send(Came::Closed(conn).into()).await;
+            let _ = to.send(SocketEvent::Closed(conn).into()).await;
             drop(permit);
         });
     }
 }
 
-async fn attend<A: DeserializeOwned, T: Serialize, C: From<Came<A, T>>>(
+async fn attend<A: DeserializeOwned, T: Serialize, C: From<SocketEvent<A, T>>>(
     conn: u64, stream: TcpStream, to: &mpsc::Sender<C>, max_line: usize, fault: fn(String) -> T,
 ) {
     let (read, mut write) = stream.into_split();
     let (tell, mut told) = mpsc::channel::<T>(ANSWERS);
-    if to.send(Came::Opened(conn, tell).into()).await.is_err() {
+    if to.send(SocketEvent::Opened(conn, tell).into()).await.is_err() {
         return;
     }
     let writer = async {
@@ -95,7 +95,7 @@
 }
 
 /// Reads lines to the connection's end; what was wrong with one.
-async fn listen<A: DeserializeOwned, T, C: From<Came<A, T>>>(
+async fn listen<A: DeserializeOwned, T, C: From<SocketEvent<A, T>>>(
     conn: u64, read: OwnedReadHalf, to: &mpsc::Sender<C>, max_line: usize,
 ) -> Option<String> {
     let mut lines = BufReader::new(read);
@@ -111,7 +111,7 @@
         }
         match serde_json::from_slice::<A>(&line) {
             Err(e) => return Some(format!("not a message: {e}")),
-            Ok(ask) => to.send(Came::Asked(conn, ask).into()).await.ok()?,
+            Ok(ask) => to.send(SocketEvent::Received(conn, ask).into()).await.ok()?,
         }
     }
 }
--- a/crates/kelpdoor-keeper/src/voter.rs
+++ b/crates/kelpdoor-keeper/src/voter.rs
@@ -20,8 +20,8 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-use crate::line::{Heard, Lines};
-use crate::sockets::{Came, accept};
+use crate::sockets::{SocketEvent, accept};
+use crate::voter_connections::{ConnectionEvent, VoterConnections};
 
 const FORMAT: &str = "kelpdoor-voter 2";
 /// Lines waiting for the loop at most; readers wait beyond it.
@@ -52,10 +52,11 @@
 }
 
 /// How agreed documents are read. One that does not read, which no voter lets pass, grants no lease and names nobody.
-pub const READING: DocumentReader = DocumentReader {
-    lease: |text| read(text).map_or(UNREAD, |s| lease_duration(s.directors.contradiction)),
+pub const DOCUMENT_READER: DocumentReader = DocumentReader {
+    lease: |text| parse_document(text).map_or(UNREAD, |s| lease_duration(s.directors.contradiction)),
     voters: |text| {
-        read(text).map_or_else(|_| Vec::new(), |s| s.voters.at.keys().copied().map(VoterId).collect())
+        parse_document(text)
+            .map_or_else(|_| Vec::new(), |s| s.voters.at.keys().copied().map(VoterId).collect())
     },
 };
 
@@ -69,7 +70,7 @@
 ///
 /// # Errors
 /// Every fault found.
-pub fn read(text: &str) -> Result<Arc<AgreedSettings>, Vec<SettingsError>> {
+pub fn parse_document(text: &str) -> Result<Arc<AgreedSettings>, Vec<SettingsError>> {
     let find = |of: &mut Vec<(String, Arc<AgreedSettings>)>| {
         let at = of.iter().position(|(known, _)| known == text)?;
         let found = of.remove(at);
@@ -89,7 +90,7 @@
 
 /// Where each voter is reached: as this process was told, else as the agreed document says, else as the settings name it
 /// to begin with.
-pub fn addresses(
+pub fn voter_addresses(
     first: &BTreeMap<u8, SocketAddr>, agreed: Option<BTreeMap<u8, SocketAddr>>,
     reach: &BTreeMap<u8, SocketAddr>,
 ) -> BTreeMap<VoterId, SocketAddr> {
@@ -104,12 +105,12 @@
 }
 
 enum Come {
-    Socket(Came<ClientRequest, VoterResponse>),
+    Socket(SocketEvent<ClientRequest, VoterResponse>),
     End,
 }
 
-impl From<Came<ClientRequest, VoterResponse>> for Come {
-    fn from(came: Came<ClientRequest, VoterResponse>) -> Self {
+impl From<SocketEvent<ClientRequest, VoterResponse>> for Come {
+    fn from(came: SocketEvent<ClientRequest, VoterResponse>) -> Self {
         Come::Socket(came)
     }
 }
@@ -173,7 +174,7 @@
     let listener = TcpListener::bind(options.listen).await?;
     let address = listener.local_addr()?;
     let steady = BootClock::new(options.clock_rate);
-    let voter = Voter::new(options.me, durable, READING, fastrand::u64(..), steady.now());
+    let voter = Voter::new(options.me, durable, DOCUMENT_READER, fastrand::u64(..), steady.now());
     tracing::info!(newest = voter.durable().newest(), votes = voter.durable().may_vote(), "voting");
     let (to, from) = mpsc::channel(ASKS);
     let mut tasks = JoinSet::new();
@@ -184,7 +185,7 @@
         MAX_LINE,
         VoterResponse::Fault,
     ));
-    let peers = Lines::new(&fleet, heard);
+    let peers = VoterConnections::new(&fleet, heard);
     let mut shell = Shell {
         me: options.me,
         fleet,
@@ -221,7 +222,7 @@
     store: PathBuf,
     first: BTreeMap<u8, SocketAddr>,
     reach: BTreeMap<u8, SocketAddr>,
-    peers: Lines,
+    peers: VoterConnections,
     conns: HashMap<u64, mpsc::Sender<VoterResponse>>,
     /// Connections that named our fleet.
     welcome: HashSet<u64>,
@@ -237,7 +238,7 @@
 
 impl Shell {
     async fn run(
-        mut self, mut from: mpsc::Receiver<Come>, mut said: mpsc::Receiver<(VoterId, Heard)>,
+        mut self, mut from: mpsc::Receiver<Come>, mut said: mpsc::Receiver<(VoterId, ConnectionEvent)>,
     ) -> Result<(), String> {
         let done = self.work(&mut from, &mut said).await;
         if let Err(why) = &done {
@@ -248,7 +249,7 @@
     }
 
     async fn work(
-        &mut self, from: &mut mpsc::Receiver<Come>, said: &mut mpsc::Receiver<(VoterId, Heard)>,
+        &mut self, from: &mut mpsc::Receiver<Come>, said: &mut mpsc::Receiver<(VoterId, ConnectionEvent)>,
     ) -> Result<(), String> {
         loop {
             let mut word = None;
@@ -264,7 +265,7 @@
             let now = self.steady.now();
             let mut end = false;
             self.voter.tick(now);
-            if let Some((place, Heard::Told(VoterResponse::Voter { word }))) = word {
+            if let Some((place, ConnectionEvent::Response(VoterResponse::Voter { word }))) = word {
                 self.hear(now, place, word);
             }
             if let Some(first) = first {
@@ -287,8 +288,8 @@
 
     /// Keeps a line to each other voter that the newest version names, and to those of the settings: they may know more.
     fn dial(&mut self) {
-        let newest = self.voter.newest().and_then(|c| read(&c.value.text).ok());
-        let mut all = addresses(&self.first, newest.map(|s| s.voters.at.clone()), &self.reach);
+        let newest = self.voter.newest().and_then(|c| parse_document(&c.value.text).ok());
+        let mut all = voter_addresses(&self.first, newest.map(|s| s.voters.at.clone()), &self.reach);
         all.remove(&self.me);
         self.peers.dial(all);
     }
@@ -338,15 +339,15 @@
     /// Whether that was the end.
     fn come(&mut self, now: f64, come: Come) -> bool {
         match come {
-            Come::Socket(Came::Opened(conn, to)) => {
+            Come::Socket(SocketEvent::Opened(conn, to)) => {
                 self.conns.insert(conn, to);
             }
-            Come::Socket(Came::Closed(conn)) => {
+            Come::Socket(SocketEvent::Closed(conn)) => {
                 self.conns.remove(&conn);
                 self.welcome.remove(&conn);
                 self.asked_on.retain(|_, on| *on != conn);
             }
-            Come::Socket(Came::Asked(conn, ask)) => self.asked(now, conn, ask),
+            Come::Socket(SocketEvent::Received(conn, ask)) => self.asked(now, conn, ask),
             Come::End => return true,
         }
         false
@@ -391,7 +392,7 @@
         // A version that does not read would leave nobody to decide the next one. No voter of ours says such.
         if let VoterMessage::Learn { number, text, .. } = &word
             && *number > self.voter.durable().newest()
-            && let Err(faults) = read(text)
+            && let Err(faults) = parse_document(text)
         {
             tracing::error!(from = from.0, number, fault = %faults[0], "a version that does not read is not taken");
             return;
@@ -407,9 +408,9 @@
             return Err(format!("the document has {} bytes, {MAX_DOCUMENT} at most", text.len()));
         }
         let faults = |f: Vec<SettingsError>| f.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n");
-        let new = read(text).map_err(faults)?;
+        let new = parse_document(text).map_err(faults)?;
         let Some(newest) = self.voter.newest().filter(|c| c.number == after) else { return Ok(()) };
-        let old = read(&newest.value.text).map_err(faults)?;
+        let old = parse_document(&newest.value.text).map_err(faults)?;
         check_transition(&old, &new, sure)?;
         // With too many that are not there, nothing could be agreed any more, not even to take them off again.
         let joins = new.voters.at.keys().map(|v| VoterId(*v)).filter(|v| !self.voter.deciding().contains(v));
--- a/crates/kelpdoor-keeper/src/line.rs
+++ b/crates/kelpdoor-keeper/src/voter_connections.rs
@@ -25,10 +25,10 @@
 
 /// What a line brings.
 #[derive(Debug)]
-pub enum Heard {
+pub enum ConnectionEvent {
     /// A connection is up: what was asked on an earlier one is not answered any more.
     Connected,
-    Told(VoterResponse),
+    Response(VoterResponse),
 }
 
 struct Line {
@@ -38,17 +38,17 @@
 }
 
 /// Lines to voters, as the agreed list changes; ended with it.
-pub struct Lines {
+pub struct VoterConnections {
     all: BTreeMap<VoterId, Line>,
     tasks: JoinSet<()>,
     fleet: String,
-    heard: mpsc::Sender<(VoterId, Heard)>,
+    heard: mpsc::Sender<(VoterId, ConnectionEvent)>,
 }
 
-impl Lines {
+impl VoterConnections {
     /// What lines bring goes to `heard`.
-    pub fn new(fleet: &str, heard: mpsc::Sender<(VoterId, Heard)>) -> Self {
-        Lines { all: BTreeMap::new(), tasks: JoinSet::new(), fleet: fleet.to_owned(), heard }
+    pub fn new(fleet: &str, heard: mpsc::Sender<(VoterId, ConnectionEvent)>) -> Self {
+        VoterConnections { all: BTreeMap::new(), tasks: JoinSet::new(), fleet: fleet.to_owned(), heard }
     }
 
     /// Keeps a line to each of these and to no other; those that had one elsewhere, or had one before.
@@ -93,7 +93,7 @@
 /// Keeps a connection to the voter in that place, until `asks` or `heard` ends. What it brings goes to `heard`.
 async fn line(
     address: SocketAddr, fleet: String, place: VoterId, mut asks: mpsc::Receiver<ClientRequest>,
-    heard: mpsc::Sender<(VoterId, Heard)>,
+    heard: mpsc::Sender<(VoterId, ConnectionEvent)>,
 ) {
     let mut wait = WAIT.0;
     let mut last = String::new();
@@ -136,7 +136,7 @@
 /// One connection to its end; `None` when nobody asks any more.
 async fn talk(
     stream: TcpStream, fleet: &str, place: VoterId, asks: &mut mpsc::Receiver<ClientRequest>,
-    heard: &mpsc::Sender<(VoterId, Heard)>,
+    heard: &mpsc::Sender<(VoterId, ConnectionEvent)>,
 ) -> Option<String> {
     let _ = stream.set_nodelay(true);
     let (read, mut to) = stream.into_split();
@@ -172,11 +172,11 @@
                     }
                     Ok(VoterResponse::Welcome { .. }) => {
                         welcome = true;
-                        say(Heard::Connected).await?;
+                        say(ConnectionEvent::Connected).await?;
                     }
                     Ok(VoterResponse::Pong) => {}
                     Ok(_) if !welcome => return Some("it speaks before it welcomes".to_owned()),
-                    Ok(tell) => say(Heard::Told(tell)).await?,
+                    Ok(tell) => say(ConnectionEvent::Response(tell)).await?,
                 }
             }
             ask = asks.recv(), if welcome => {
--- a/crates/kelpdoor-keeper/src/wire.rs
+++ b/crates/kelpdoor-keeper/src/wire.rs
@@ -8,19 +8,22 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ask {
-    Word(KeeperRequest),
-    /// How all schools stand, for operators.
-    Standing,
+pub enum KeeperClientMessage {
+    #[serde(rename = "word")]
+    Request(KeeperRequest),
+    /// Requests the seat counts of all schools, for operators.
+    #[serde(rename = "standing")]
+    Status,
 }
 
 /// A school's seats as operators see them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SchoolStanding {
+pub struct SchoolSeatCounts {
     pub school: String,
     pub bought: u32,
     pub held: u32,
-    pub lent: u32,
+    #[serde(rename = "lent")]
+    pub leased: u32,
     pub free: u32,
     /// Held by tokens that run out within five minutes.
     pub expiring: u32,
@@ -28,12 +31,12 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Tell {
-    Word(KeeperResponse),
-    Standing {
-        directors: usize,
-        schools: Vec<SchoolStanding>,
-    },
+pub enum KeeperServerMessage {
+    #[serde(rename = "word")]
+    Response(KeeperResponse),
+    #[serde(rename = "standing")]
+    Status { directors: usize, schools: Vec<SchoolSeatCounts> },
     /// That line was none; the connection ends.
-    Fault(String),
+    #[serde(rename = "fault")]
+    Error(String),
 }
--- a/crates/kelpdoor-keeper/tests/kept.rs
+++ b/crates/kelpdoor-keeper/tests/kept.rs
@@ -5,7 +5,10 @@
 use std::time::Duration;
 
 use kelpdoor_clock::BootClock;
-use kelpdoor_keeper::{Agreed, Ask, KeeperOptions, Log, RunningKeeper, SchoolStanding, Sold, Tell, start};
+use kelpdoor_keeper::{
+    AgreedSchools, KeeperClientMessage, KeeperOptions, KeeperServerMessage, Log, RunningKeeper,
+    SchoolSeatCounts, SchoolSeats, start,
+};
 use kelpdoor_seats::{
     Change, DirectorId, Epoch, KeeperRequest, KeeperResponse, LeaseTerms, Ledger, School, TokenId,
 };
@@ -115,29 +118,29 @@
         Director { lines: BufReader::new(read).lines(), write }
     }
 
-    async fn say(&mut self, ask: &Ask) {
+    async fn say(&mut self, ask: &KeeperClientMessage) {
         let mut text = serde_json::to_vec(ask).expect("plain data");
         text.push(b'\n');
         self.write.write_all(&text).await.expect("written");
     }
 
-    async fn hear(&mut self) -> Tell {
+    async fn hear(&mut self) -> KeeperServerMessage {
         let line = within(self.lines.next_line()).await.expect("readable").expect("a line");
         serde_json::from_str(&line).expect("an answer")
     }
 
     async fn word(&mut self, word: KeeperRequest) -> KeeperResponse {
-        self.say(&Ask::Word(word)).await;
+        self.say(&KeeperClientMessage::Request(word)).await;
         match self.hear().await {
-            Tell::Word(word) => word,
+            KeeperServerMessage::Response(word) => word,
             other => panic!("{other:?}"),
         }
     }
 
-    async fn standing(&mut self) -> SchoolStanding {
-        self.say(&Ask::Standing).await;
+    async fn standing(&mut self) -> SchoolSeatCounts {
+        self.say(&KeeperClientMessage::Status).await;
         match self.hear().await {
-            Tell::Standing { mut schools, .. } => schools.remove(0),
+            KeeperServerMessage::Status { mut schools, .. } => schools.remove(0),
             other => panic!("{other:?}"),
         }
     }
@@ -147,7 +150,9 @@
     keeper_by(ledger, vec![(school(), seats)], None).await
 }
 
-async fn keeper_by(ledger: &Path, schools: Vec<(School, u32)>, agreed: Option<Agreed>) -> RunningKeeper {
+async fn keeper_by(
+    ledger: &Path, schools: Vec<(School, u32)>, agreed: Option<AgreedSchools>,
+) -> RunningKeeper {
     let options = KeeperOptions {
         listen: "127.0.0.1:0".parse().expect("an address"),
         ledger: Some(ledger.to_owned()),
@@ -174,7 +179,7 @@
     let hello = KeeperRequest::Hello { director: DirectorId(4), nonce: 9 };
     assert_eq!(d.word(hello.clone()).await, KeeperResponse::Welcome { nonce: 9, epoch: Epoch(1) });
     let before = std::fs::metadata(&path).expect("a ledger").len();
-    d.say(&Ask::Word(claim("a", 1))).await;
+    d.say(&KeeperClientMessage::Request(claim("a", 1))).await;
     // As soon as the claim is on disk the keeper is gone, whether or not its answer went out.
     within(async {
         while std::fs::metadata(&path).expect("a ledger").len() == before {
@@ -203,13 +208,13 @@
     for bad in ["what?\n".to_owned(), "x".repeat(5000)] {
         let mut other = Director::connect(&keeper).await;
         other.write.write_all(bad.as_bytes()).await.expect("written");
-        assert!(matches!(other.hear().await, Tell::Fault(_)));
+        assert!(matches!(other.hear().await, KeeperServerMessage::Error(_)));
         assert!(within(other.lines.next_line()).await.is_ok_and(|l| l.is_none()));
     }
     for (n, token) in ["a", "b"].into_iter().enumerate() {
         assert!(matches!(good.word(claim(token, n as u64 + 1)).await, KeeperResponse::Granted { .. }));
     }
-    keeper.buy(vec![(school(), 1), (School("ida".into()), 3)]).await;
+    keeper.set_schools(vec![(school(), 1), (School("ida".into()), 3)]).await;
     let s = good.standing().await;
     assert_eq!(s.school, "ida");
     assert!(matches!(good.word(claim("c", 3)).await, KeeperResponse::Full { .. }));
@@ -219,13 +224,13 @@
 #[tokio::test]
 async fn agreed_seats_are_given_out_under_a_lease_alone_looked_at_with_each_claim() {
     let dir = tempfile::tempdir().expect("a folder");
-    let steady = BootClock::new(1.0);
-    let (tell, sold) = watch::channel(Sold::nothing());
-    let agreed = Some(Agreed { sold, steady });
+    let clock = BootClock::new(1.0);
+    let (tell, seats) = watch::channel(SchoolSeats::unknown());
+    let agreed = Some(AgreedSchools { seats, clock });
     let keeper = keeper_by(&dir.path().join("ledger"), Vec::new(), agreed).await;
     let mut d = Director::connect(&keeper).await;
     d.word(KeeperRequest::Hello { director: DirectorId(4), nonce: 9 }).await;
-    let now = steady.now();
+    let now = clock.now();
     // Nothing known; not begun; under a lease; over, as after a pause; and under one again, by a newer version.
     let leases = [
         None,
@@ -237,7 +242,12 @@
     let mut said = String::new();
     for (k, lease) in leases.into_iter().enumerate() {
         if let Some((from, until, seats)) = lease {
-            tell.send_replace(Sold { schools: vec![(school(), seats)], label: k.to_string(), from, until });
+            tell.send_replace(SchoolSeats {
+                schools: vec![(school(), seats)],
+                label: k.to_string(),
+                from,
+                until,
+            });
         }
         for token in ["a", "b"] {
             let granted = matches!(
--- a/crates/kelpdoor-lab/src/scale/plan/limits.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/limits.rs
@@ -2,7 +2,7 @@
 
 use kelpdoor_agreement::{MAX_DIRECTOR_NAMES, MAX_DOCUMENT};
 use kelpdoor_director::{MAX_LINE, MAX_NODES, MAX_TITLES, Phase, RosterNode};
-use kelpdoor_keeper::{CONNS, DIRECTORS};
+use kelpdoor_keeper::{MAX_CONNECTED_DIRECTORS, MAX_CONNECTIONS};
 use kelpdoor_script::{MAX_CONTRADICTION, MAX_DIRECTORS, MAX_NUMBERED_DIRECTORS, MAX_ZONES, Players};
 
 use super::roles::{Against, ROWS, named};
@@ -62,11 +62,17 @@
     let bytes = format!("limit in the code ({MAX_LINE} B a line), worked out at {} B a node", node_bytes());
     vec![
         of("names of directors in an agreed document", MAX_DIRECTORS as f64, t.directors, "directors", code),
-        of("connections to a voter", CONNS as f64, t.directors, "directors", code),
-        of("connections to the keeper of seats", CONNS as f64, t.directors, "directors", code),
+        of("connections to a voter", MAX_CONNECTIONS as f64, t.directors, "directors", code),
+        of("connections to the keeper of seats", MAX_CONNECTIONS as f64, t.directors, "directors", code),
         of("directors that a voter knows by name", MAX_DIRECTOR_NAMES as f64, t.directors, "directors", code),
         of("directors by number", f64::from(MAX_NUMBERED_DIRECTORS), t.directors, "directors", code),
-        of("directors at the keeper of seats", DIRECTORS as f64, t.directors, "directors", code),
+        of(
+            "directors at the keeper of seats",
+            MAX_CONNECTED_DIRECTORS as f64,
+            t.directors,
+            "directors",
+            code,
+        ),
         of(
             "longest contradiction that a document may state",
             MAX_CONTRADICTION,
--- a/crates/kelpdoor-lab/src/tickets.rs
+++ b/crates/kelpdoor-lab/src/tickets.rs
@@ -8,7 +8,7 @@
 use std::{fs, io};
 
 use anyhow::{Context, Result, anyhow};
-use kelpdoor_keeper::{Ask, Tell};
+use kelpdoor_keeper::{KeeperClientMessage, KeeperServerMessage};
 use kelpdoor_tokens::{Audience, Claims, Issuer, key_set};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -178,13 +178,13 @@
     /// Seats held and lent over all schools, as the keeper says.
     pub async fn standing(&self) -> Result<(u32, u32)> {
         let mut stream = TcpStream::connect(&self.address).await?;
-        let mut ask = serde_json::to_vec(&Ask::Standing)?;
+        let mut ask = serde_json::to_vec(&KeeperClientMessage::Status)?;
         ask.push(b'\n');
         stream.write_all(&ask).await?;
         let line = BufReader::new(stream).lines().next_line().await?.context("no answer")?;
-        let Tell::Standing { schools, .. } = serde_json::from_str(&line)? else {
+        let KeeperServerMessage::Status { schools, .. } = serde_json::from_str(&line)? else {
             return Err(anyhow!("not a standing: {line}"));
         };
-        Ok((schools.iter().map(|s| s.held).sum(), schools.iter().map(|s| s.lent).sum()))
+        Ok((schools.iter().map(|s| s.held).sum(), schools.iter().map(|s| s.leased).sum()))
     }
 }
--- a/crates/kelpdoord/src/agreed.rs
+++ b/crates/kelpdoord/src/agreed.rs
@@ -9,8 +9,8 @@
 use anyhow::{Context, Result, bail};
 use kelpdoor_agreement::keys::{self, Change, check_transition};
 use kelpdoor_agreement::{Chosen, ClientRequest, DirectorStatus, MAX_LINE, Value, VoterId, VoterResponse};
-use kelpdoor_director::{Following, kept, pools};
-use kelpdoor_keeper::{Sold, addresses, read};
+use kelpdoor_director::{RulesFollower, load_cached_version, seat_pools};
+use kelpdoor_keeper::{SchoolSeats, parse_document, voter_addresses};
 use kelpdoor_script::{AgreedSettings, Agreement, LocalSettings};
 use serde_json::json;
 use tokio::sync::watch;
@@ -50,8 +50,8 @@
         let own = own.with_context(|| format!("{}: no agreement(..) in it", config.display()))?;
         let own = own.agreement;
         // Those of the settings may all be gone by now: a director's copy names those who came after them.
-        let kept = kept(&own)?;
-        let at = addresses(&own.voters, kept.as_ref().and_then(listed_in), &own.reach);
+        let kept = load_cached_version(&own)?;
+        let at = voter_addresses(&own.voters, kept.as_ref().and_then(listed_in), &own.reach);
         let mut voters = Voters { own, at, newest: None };
         // A newer list may name more, who know of a newer list still.
         for _ in 0..LISTS {
@@ -93,7 +93,7 @@
             }
         }
         if let Some(c) = &newest {
-            self.at = addresses(&self.own.voters, listed_in(c), &self.own.reach);
+            self.at = voter_addresses(&self.own.voters, listed_in(c), &self.own.reach);
         }
         self.newest = newest;
     }
@@ -285,20 +285,20 @@
 }
 
 /// Tells a keeper of seats the agreed schools, under a lease like a director's.
-pub async fn follow_schools(own: Agreement, sold: watch::Sender<Sold>) -> Result<()> {
-    let book = |of: &keys::SchoolSeats| (pools(of.schools()), true);
-    let mut following = Following::reading(own, (), book).await?;
+pub async fn follow_schools(own: Agreement, sold: watch::Sender<SchoolSeats>) -> Result<()> {
+    let book = |of: &keys::SchoolSeats| (seat_pools(of.schools()), true);
+    let mut following = RulesFollower::start_with(own, (), book).await?;
     loop {
-        let r = following.ruling();
-        let schools = r.book.to_vec();
-        sold.send_replace(Sold { schools, label: r.label, from: r.from, until: r.until });
+        let r = following.rules();
+        let schools = r.settings.to_vec();
+        sold.send_replace(SchoolSeats { schools, label: r.label, from: r.from, until: r.until });
         following.changed().await;
     }
 }
 
 /// Where a version says that voters are reached.
 fn listed_in(c: &Chosen) -> Option<BTreeMap<u8, SocketAddr>> {
-    read(&c.value.text).ok().map(|s| s.voters.at.clone())
+    parse_document(&c.value.text).ok().map(|s| s.voters.at.clone())
 }
 
 fn show_changes(changes: &[Change]) {
--- a/crates/kelpdoord/src/lib.rs
+++ b/crates/kelpdoord/src/lib.rs
@@ -14,8 +14,11 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use kelpdoor_agreement::VoterId;
 use kelpdoor_clock::BootClock;
-use kelpdoor_director::{Following, ServeOptions, journal, keeper_options, serve};
-use kelpdoor_keeper::{Agreed, Ask, RunningVoter, Sold, Tell, VoterOptions, start_voter};
+use kelpdoor_director::{RulesFollower, ServeOptions, journal, keeper_options, serve};
+use kelpdoor_keeper::{
+    AgreedSchools, KeeperClientMessage, KeeperServerMessage, RunningVoter, SchoolSeats, VoterOptions,
+    start_voter,
+};
 use kelpdoor_platform::{StartupConfig, StartupError};
 use kelpdoor_script::{Deployment, KEEPER_BUILTINS, KeeperSettings, LocalSettings, SettingsError, Voter};
 use kelpdoor_tokens::KeySet;
@@ -224,10 +227,10 @@
     let follows = book.agreement.is_some();
     let mut following = JoinSet::new();
     if let Some(own) = book.agreement {
-        let steady = BootClock::new(own.clock_rate);
-        let (tell, sold) = watch::channel(Sold::nothing());
+        let clock = BootClock::new(own.clock_rate);
+        let (tell, seats) = watch::channel(SchoolSeats::unknown());
         following.spawn(agreed::follow_schools(own, tell));
-        options.agreed = Some(Agreed { sold, steady });
+        options.agreed = Some(AgreedSchools { seats, clock });
     }
     let listen = options.listen;
     let mut running =
@@ -244,7 +247,7 @@
                 Ok(_) if follows => tracing::info!("the schools are agreed: nothing to read again"),
                 Ok(book) => {
                     tracing::info!(schools = book.schools.len(), "read again; listen, ledger and leases stay");
-                    running.buy(keeper_options(&book.keeper, &book.schools).schools).await;
+                    running.set_schools(keeper_options(&book.keeper, &book.schools).schools).await;
                 }
                 Err(faults) => tracing::error!("{}; the schools stay as they were", told(faults)),
             },
@@ -262,7 +265,7 @@
         .with_context(|| format!("the keeper at {keeper}"))?;
     stream.set_read_timeout(wait)?;
     stream.set_write_timeout(wait)?;
-    let mut ask = serde_json::to_vec(&Ask::Standing)?;
+    let mut ask = serde_json::to_vec(&KeeperClientMessage::Status)?;
     ask.push(b'\n');
     stream.write_all(&ask)?;
     let mut line = String::new();
@@ -271,7 +274,9 @@
         print!("{line}");
         return Ok(());
     }
-    let Tell::Standing { directors, schools } = serde_json::from_str(&line).context("its answer")? else {
+    let KeeperServerMessage::Status { directors, schools } =
+        serde_json::from_str(&line).context("its answer")?
+    else {
         bail!("it answers with something else: {line}");
     };
     println!("{directors} directors");
@@ -281,7 +286,7 @@
         "school", "bought", "held", "lent", "free", "expiring"
     );
     for s in schools {
-        let (b, h, l, f, e) = (s.bought, s.held, s.lent, s.free, s.expiring);
+        let (b, h, l, f, e) = (s.bought, s.held, s.leased, s.free, s.expiring);
         println!("{:width$} {b:>8} {h:>8} {l:>8} {f:>8} {e:>8}", s.school);
     }
     Ok(())
@@ -330,7 +335,7 @@
             }
             tracing::info!(name, "asking the voters for the rules");
             let started = tokio::select! {
-                started = Following::start(*own) => started?,
+                started = RulesFollower::start(*own) => started?,
                 _ = term.recv() => return Ok(()),
                 _ = int.recv() => return Ok(()),
             };
