--- a/crates/kelpdoor-director/src/agreed_rules.rs
+++ b/crates/kelpdoor-director/src/agreed_rules.rs
@@ -140,7 +140,7 @@
         let now = steady.now();
         for voter in lines.voters() {
             if let Some(ask) = follower.next_request(now, voter) {
-                lines.ask(voter, ask);
+                lines.send(voter, ask);
             }
         }
         if let Some(acting) = follower.active_versions(now) {
--- a/crates/kelpdoor-keeper/src/sockets.rs
+++ b/crates/kelpdoor-keeper/src/sockets.rs
@@ -1,4 +1,5 @@
-//! Connections that bring JSON lines and take them: a task for each, a bound on each line, queue and count.
+//! Server side of connections that carry JSON lines in both directions: one task per connection, with bounds on the length
+//! of a line, the queue of responses and the number of connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,67 +13,70 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Connections at most; more are closed at once, and directors come again. One of each director that a document may name, and
-/// operators, voters and connections that end.
+/// Maximum number of connections; further ones are closed at once, and directors connect again. Leaves room for each
+/// director that a document may name, for operators and voters, and for connections that are closing.
 pub const MAX_CONNECTIONS: usize = 10_000;
-/// Answers waiting for one connection at most; beyond it the connection is closed.
-const ANSWERS: usize = 8192;
+/// Maximum number of responses queued for one connection; beyond it the connection is closed.
+const MAX_QUEUED_RESPONSES: usize = 8192;
 
-/// What a listener's connections bring.
+/// An event on a connection of a listener, with the number of the connection. `A` is the type of requests, `T` that of
+/// responses.
 pub enum SocketEvent<A, T> {
     Opened(u64, mpsc::Sender<T>),
     Closed(u64),
     Received(u64, A),
 }
 
-/// Takes connections and reads their lines until it is dropped. `fault` makes a last answer of what was wrong with a line.
+/// Accepts connections and sends their events to `events` until it is dropped. `error_response` turns the description of
+/// an invalid line into the last response on its connection.
 pub async fn accept<A, T, C>(
-    listener: TcpListener, to: mpsc::Sender<C>, max_line: usize, fault: fn(String) -> T,
+    listener: TcpListener, events: mpsc::Sender<C>, max_line: usize, error_response: fn(String) -> T,
 ) where
     A: DeserializeOwned + Send + 'static,
     T: Serialize + Send + 'static,
     C: From<SocketEvent<A, T>> + Send + 'static,
 {
-    let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut tasks = JoinSet::new();
-    let mut next = 0;
+    let mut last_connection = 0;
     loop {
         while tasks.try_join_next().is_some() {}
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                tracing::warn!(%e, "a connection was not accepted");
+                tracing::warn!(%e, "cannot accept a connection");
                 sleep(Duration::from_millis(50)).await;
                 continue;
             }
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else { continue };
-        next += 1;
-        let (conn, to) = (next, to.clone());
+        let Ok(permit) = slots.clone().try_acquire_owned() else { continue };
+        last_connection += 1;
+        let (connection, events) = (last_connection, events.clone());
         tasks.spawn(async move {
             let _ = stream.set_nodelay(true);
-            attend::<A, T, C>(conn, stream, &to, max_line, fault).await;
-            let _ = to.send(SocketEvent::Closed(conn).into()).await;
+            serve_connection::<A, T, C>(connection, stream, &events, max_line, error_response).await;
+            let _ = events.send(SocketEvent::Closed(connection).into()).await;
             drop(permit);
         });
     }
 }
 
-async fn attend<A: DeserializeOwned, T: Serialize, C: From<SocketEvent<A, T>>>(
-    conn: u64, stream: TcpStream, to: &mpsc::Sender<C>, max_line: usize, fault: fn(String) -> T,
+async fn serve_connection<A: DeserializeOwned, T: Serialize, C: From<SocketEvent<A, T>>>(
+    connection: u64, stream: TcpStream, events: &mpsc::Sender<C>, max_line: usize,
+    error_response: fn(String) -> T,
 ) {
     let (read, mut write) = stream.into_split();
-    let (tell, mut told) = mpsc::channel::<T>(ANSWERS);
-    if to.send(SocketEvent::Opened(conn, tell).into()).await.is_err() {
+    let (responses, mut queue) = mpsc::channel::<T>(MAX_QUEUED_RESPONSES);
+    if events.send(SocketEvent::Opened(connection, responses).into()).await.is_err() {
         return;
     }
     let writer = async {
-        while let Some(tell) = told.recv().await {
-            let mut text = serde_json::to_vec(&tell).expect("plain data");
+        while let Some(response) = queue.recv().await {
+            let mut text = serde_json::to_vec(&response).expect("plain data");
             text.push(b'\n');
-            // What waits together goes out together.
+            // Responses that are queued together are written together.
             while text.len() < 1 << 16
-                && let Ok(more) = told.try_recv()
+                && let Ok(more) = queue.try_recv()
             {
                 text.extend(serde_json::to_vec(&more).expect("plain data"));
                 text.push(b'\n');
@@ -82,27 +86,27 @@
             }
         }
     };
-    let wrong = tokio::select! {
-        wrong = listen::<A, T, C>(conn, read, to, max_line) => wrong,
+    let error = tokio::select! {
+        error = read_requests::<A, T, C>(connection, read, events, max_line) => error,
         () = writer => None,
     };
-    if let Some(wrong) = wrong {
-        tracing::warn!(conn, fault = %wrong, "closing a connection");
-        let mut text = serde_json::to_vec(&fault(wrong)).expect("plain data");
+    if let Some(error) = error {
+        tracing::warn!(conn = connection, fault = %error, "closing a connection after an invalid line");
+        let mut text = serde_json::to_vec(&error_response(error)).expect("plain data");
         text.push(b'\n');
         let _ = write.write_all(&text).await;
     }
 }
 
-/// Reads lines to the connection's end; what was wrong with one.
-async fn listen<A: DeserializeOwned, T, C: From<SocketEvent<A, T>>>(
-    conn: u64, read: OwnedReadHalf, to: &mpsc::Sender<C>, max_line: usize,
+/// Reads requests until the connection ends. Returns what is wrong with an invalid line, `None` if there was none.
+async fn read_requests<A: DeserializeOwned, T, C: From<SocketEvent<A, T>>>(
+    connection: u64, read: OwnedReadHalf, events: &mpsc::Sender<C>, max_line: usize,
 ) -> Option<String> {
-    let mut lines = BufReader::new(read);
+    let mut reader = BufReader::new(read);
     let mut line = Vec::new();
     loop {
         line.clear();
-        match (&mut lines).take(max_line as u64).read_until(b'\n', &mut line).await {
+        match (&mut reader).take(max_line as u64).read_until(b'\n', &mut line).await {
             Ok(0) | Err(_) => return None,
             Ok(_) if !line.ends_with(b"\n") => {
                 return (line.len() >= max_line).then(|| format!("a line of more than {max_line} bytes"));
@@ -111,7 +115,7 @@
         }
         match serde_json::from_slice::<A>(&line) {
             Err(e) => return Some(format!("not a message: {e}")),
-            Ok(ask) => to.send(SocketEvent::Received(conn, ask).into()).await.ok()?,
+            Ok(request) => events.send(SocketEvent::Received(connection, request).into()).await.ok()?,
         }
     }
 }
--- a/crates/kelpdoor-keeper/src/voter.rs
+++ b/crates/kelpdoor-keeper/src/voter.rs
@@ -313,7 +313,7 @@
         for o in out {
             match o {
                 Output::Message(to, word) if self.peers.has(to) => {
-                    self.peers.ask(to, ClientRequest::Voter { from, word })
+                    self.peers.send(to, ClientRequest::Voter { from, word })
                 }
                 Output::Message(to, word) => {
                     if let Some(conn) = self.asked_on.get(&to).copied() {
@@ -322,7 +322,7 @@
                 }
                 Output::Broadcast(word) => {
                     let all = self.peers.voters();
-                    all.for_each(|to| self.peers.ask(to, ClientRequest::Voter { from, word: word.clone() }));
+                    all.for_each(|to| self.peers.send(to, ClientRequest::Voter { from, word: word.clone() }));
                 }
                 Output::Response(conn, tell) => self.tell(conn, tell),
             }
--- a/crates/kelpdoor-keeper/src/voter_connections.rs
+++ b/crates/kelpdoor-keeper/src/voter_connections.rs
@@ -1,5 +1,5 @@
-//! A connection kept to a voter, by directors and by the other voters: made anew whenever it breaks or nothing comes back
-//! on it. Questions that find no connection are dropped: whoever asked asks again.
+//! Client connections to voters, used by directors and by other voters. A connection that breaks or on which nothing is
+//! received is replaced. Requests that find no connection are dropped: the caller repeats them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,189 +12,205 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Questions waiting for a connection at most; more are dropped.
-const MOST_OUT: usize = 256;
-/// s; wait before a voter is connected again, at first and at most.
-const WAIT: (f64, f64) = (0.05, 1.0);
-/// A connection is made within this, or tried again.
-const CONNECT: Duration = Duration::from_millis(500);
-/// A line on which nothing was asked for so long is asked whether it lives.
-const PING: Duration = Duration::from_millis(500);
-/// Nothing came back for so long: half-open, or cut one way.
-const DEAD: Duration = Duration::from_millis(2000);
+/// Maximum number of requests queued for one connection; further ones are dropped.
+const MAX_QUEUED_REQUESTS: usize = 256;
+/// First delay before a voter is connected again, in seconds; doubled with each attempt.
+const MIN_RECONNECT_DELAY: f64 = 0.05;
+/// Longest delay before a voter is connected again, in seconds.
+const MAX_RECONNECT_DELAY: f64 = 1.0;
+/// Time limit for connecting; then the attempt is repeated.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time without a request after which a ping checks whether the voter still answers.
+const PING_INTERVAL: Duration = Duration::from_millis(500);
+/// Time without received data after which the connection is closed: it is half-open, or broken in one direction. Also the
+/// time limit of one write.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// What a line brings.
+/// An event on a connection to a voter.
 #[derive(Debug)]
 pub enum ConnectionEvent {
-    /// A connection is up: what was asked on an earlier one is not answered any more.
+    /// A new connection is up: requests sent on an earlier one get no response any more.
     Connected,
     Response(VoterResponse),
 }
 
-struct Line {
-    at: SocketAddr,
-    asks: mpsc::Sender<ClientRequest>,
+struct Connection {
+    address: SocketAddr,
+    requests: mpsc::Sender<ClientRequest>,
     task: AbortHandle,
 }
 
-/// Lines to voters, as the agreed list changes; ended with it.
+/// Connections to the voters of an agreed list, which may change. Dropping it closes all of them.
 pub struct VoterConnections {
-    all: BTreeMap<VoterId, Line>,
+    connections: BTreeMap<VoterId, Connection>,
     tasks: JoinSet<()>,
     fleet: String,
-    heard: mpsc::Sender<(VoterId, ConnectionEvent)>,
+    events: mpsc::Sender<(VoterId, ConnectionEvent)>,
 }
 
 impl VoterConnections {
-    /// What lines bring goes to `heard`.
-    pub fn new(fleet: &str, heard: mpsc::Sender<(VoterId, ConnectionEvent)>) -> Self {
-        VoterConnections { all: BTreeMap::new(), tasks: JoinSet::new(), fleet: fleet.to_owned(), heard }
+    /// Creates an empty set of connections for voters of `fleet`. Their events are sent to `events`.
+    pub fn new(fleet: &str, events: mpsc::Sender<(VoterId, ConnectionEvent)>) -> Self {
+        VoterConnections {
+            connections: BTreeMap::new(),
+            tasks: JoinSet::new(),
+            fleet: fleet.to_owned(),
+            events,
+        }
     }
 
-    /// Keeps a line to each of these and to no other; those that had one elsewhere, or had one before.
-    pub fn dial(&mut self, to: BTreeMap<VoterId, SocketAddr>) -> Vec<VoterId> {
-        let mut gone = Vec::new();
-        self.all.retain(|voter, line| {
-            let stays = to.get(voter) == Some(&line.at);
-            if !stays {
-                line.task.abort();
-                gone.push(*voter);
+    /// Keeps a connection to exactly these voters from now on. Returns the voters whose connection was closed because
+    /// they are not listed or have another address.
+    pub fn dial(&mut self, addresses: BTreeMap<VoterId, SocketAddr>) -> Vec<VoterId> {
+        let mut closed = Vec::new();
+        self.connections.retain(|voter, connection| {
+            let unchanged = addresses.get(voter) == Some(&connection.address);
+            if !unchanged {
+                connection.task.abort();
+                closed.push(*voter);
             }
-            stays
+            unchanged
         });
         while self.tasks.try_join_next().is_some() {}
-        for (voter, at) in to {
-            if !self.all.contains_key(&voter) {
-                let (asks, asked) = mpsc::channel(MOST_OUT);
-                let task = line(at, self.fleet.clone(), voter, asked, self.heard.clone());
+        for (voter, address) in addresses {
+            if !self.connections.contains_key(&voter) {
+                let (requests, queue) = mpsc::channel(MAX_QUEUED_REQUESTS);
+                let task =
+                    maintain_connection(address, self.fleet.clone(), voter, queue, self.events.clone());
                 let task = self.tasks.spawn(task);
-                self.all.insert(voter, Line { at, asks, task });
+                self.connections.insert(voter, Connection { address, requests, task });
             }
         }
-        gone
+        closed
     }
 
+    /// Voters that a connection is kept to, whether or not it is up.
     pub fn voters(&self) -> impl Iterator<Item = VoterId> + use<'_> {
-        self.all.keys().copied()
+        self.connections.keys().copied()
     }
 
+    /// Whether a connection is kept to `voter`, whether or not it is up.
     pub fn has(&self, voter: VoterId) -> bool {
-        self.all.contains_key(&voter)
+        self.connections.contains_key(&voter)
     }
 
-    /// Dropped where there is no line, or too much waits on it: whoever asks asks again.
-    pub fn ask(&self, voter: VoterId, ask: ClientRequest) {
-        if let Some(line) = self.all.get(&voter) {
-            let _ = line.asks.try_send(ask);
+    /// Queues a request. Drops it if no connection is kept to the voter or its queue is full: the caller repeats it.
+    pub fn send(&self, voter: VoterId, request: ClientRequest) {
+        if let Some(connection) = self.connections.get(&voter) {
+            let _ = connection.requests.try_send(request);
         }
     }
 }
 
-/// Keeps a connection to the voter in that place, until `asks` or `heard` ends. What it brings goes to `heard`.
-async fn line(
-    address: SocketAddr, fleet: String, place: VoterId, mut asks: mpsc::Receiver<ClientRequest>,
-    heard: mpsc::Sender<(VoterId, ConnectionEvent)>,
+/// Connects to the voter and reconnects with an exponential delay, until the sender of `requests` or the receiver of
+/// `events` is dropped.
+async fn maintain_connection(
+    address: SocketAddr, fleet: String, voter: VoterId, mut requests: mpsc::Receiver<ClientRequest>,
+    events: mpsc::Sender<(VoterId, ConnectionEvent)>,
 ) {
-    let mut wait = WAIT.0;
-    let mut last = String::new();
+    let mut delay = MIN_RECONNECT_DELAY;
+    let mut last_reason = String::new();
     loop {
-        let began = Instant::now();
-        let why = match timeout(CONNECT, TcpStream::connect(address)).await {
-            Err(_) => "not connected in time".to_owned(),
+        let started = Instant::now();
+        let reason = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+            Err(_) => "connection attempt timed out".to_owned(),
             Ok(Err(e)) => e.to_string(),
-            Ok(Ok(stream)) => match talk(stream, &fleet, place, &mut asks, &heard).await {
-                Some(why) => why,
+            Ok(Ok(stream)) => match run_connection(stream, &fleet, voter, &mut requests, &events).await {
+                Some(reason) => reason,
                 None => return,
             },
         };
-        if began.elapsed().as_secs_f64() > WAIT.1 {
-            wait = WAIT.0;
-            last.clear();
+        if started.elapsed().as_secs_f64() > MAX_RECONNECT_DELAY {
+            delay = MIN_RECONNECT_DELAY;
+            last_reason.clear();
         }
-        // Said once for each time that it breaks, however often it is tried again.
-        if why != last {
-            tracing::warn!(voter = place.0, %address, %why, "no line to a voter");
-            last = why;
+        // Logged once per failure, not once per attempt.
+        if reason != last_reason {
+            tracing::warn!(voter = voter.0, %address, why = %reason, "no connection to voter");
+            last_reason = reason;
         }
-        let until = Instant::now() + Duration::from_secs_f64(wait * (0.5 + fastrand::f64()));
-        wait = (wait * 2.0).min(WAIT.1);
+        let until = Instant::now() + Duration::from_secs_f64(delay * (0.5 + fastrand::f64()));
+        delay = (delay * 2.0).min(MAX_RECONNECT_DELAY);
         loop {
             tokio::select! {
                 () = sleep_until(until) => break,
-                ask = asks.recv() => if ask.is_none() { return },
+                request = requests.recv() => if request.is_none() { return },
             }
         }
     }
 }
 
-async fn write(to: &mut (impl AsyncWriteExt + Unpin), ask: &ClientRequest) -> Result<(), String> {
-    let mut text = serde_json::to_vec(ask).expect("plain data");
+async fn write_request(
+    stream: &mut (impl AsyncWriteExt + Unpin), request: &ClientRequest,
+) -> Result<(), String> {
+    let mut text = serde_json::to_vec(request).expect("plain data");
     text.push(b'\n');
-    to.write_all(&text).await.map_err(|e| e.to_string())
+    stream.write_all(&text).await.map_err(|e| e.to_string())
 }
 
-/// One connection to its end; `None` when nobody asks any more.
-async fn talk(
-    stream: TcpStream, fleet: &str, place: VoterId, asks: &mut mpsc::Receiver<ClientRequest>,
-    heard: &mpsc::Sender<(VoterId, ConnectionEvent)>,
+/// Serves one connection and returns why it ended; `None` if the sender of `requests` or the receiver of `events` is
+/// dropped.
+async fn run_connection(
+    stream: TcpStream, fleet: &str, voter: VoterId, requests: &mut mpsc::Receiver<ClientRequest>,
+    events: &mpsc::Sender<(VoterId, ConnectionEvent)>,
 ) -> Option<String> {
     let _ = stream.set_nodelay(true);
-    let (read, mut to) = stream.into_split();
+    let (read, mut write) = stream.into_split();
     let hello = ClientRequest::Hello { fleet: fleet.to_owned() };
-    if let Err(why) = write(&mut to, &hello).await {
-        return Some(why);
+    if let Err(reason) = write_request(&mut write, &hello).await {
+        return Some(reason);
     }
-    let say = async |what| heard.send((place, what)).await.ok();
-    let mut lines = BufReader::new(read);
+    let send_event = async |event| events.send((voter, event)).await.ok();
+    let mut reader = BufReader::new(read);
     let mut line = Vec::new();
-    let mut welcome = false;
-    let mut came = Instant::now();
-    let mut asked = Instant::now();
+    let mut welcomed = false;
+    let mut last_received = Instant::now();
+    let mut last_sent = Instant::now();
     loop {
-        let quiet = (asked + PING).min(came + DEAD);
+        let next_check_at = (last_sent + PING_INTERVAL).min(last_received + RECEIVE_TIMEOUT);
         tokio::select! {
-            // Safe to be dropped half-way: what was read stands in `line`.
-            n = read_line(&mut lines, &mut line) => {
+            // Cancellation-safe: a partial line stays in `line`.
+            n = read_line(&mut reader, &mut line) => {
                 match n {
                     Ok(0) => return Some("closed by the voter".to_owned()),
                     Err(e) => return Some(e.to_string()),
-                    Ok(_) if !line.ends_with(b"\n") => return Some("a line too long or cut short".to_owned()),
+                    Ok(_) if !line.ends_with(b"\n") => return Some("line too long or truncated".to_owned()),
                     Ok(_) => {}
                 }
-                let tell = serde_json::from_slice::<VoterResponse>(&line);
+                let response = serde_json::from_slice::<VoterResponse>(&line);
                 line.clear();
-                came = Instant::now();
-                match tell {
-                    Err(e) => return Some(format!("not a word of a voter's: {e}")),
-                    Ok(VoterResponse::Fault(why)) => return Some(why),
-                    Ok(VoterResponse::Welcome { me }) if me != place => {
-                        return Some(format!("the voter there has number {}, not {}", me.0, place.0));
+                last_received = Instant::now();
+                match response {
+                    Err(e) => return Some(format!("not a voter response: {e}")),
+                    Ok(VoterResponse::Fault(reason)) => return Some(reason),
+                    Ok(VoterResponse::Welcome { me }) if me != voter => {
+                        return Some(format!("the voter at this address has number {}, not {}", me.0, voter.0));
                     }
                     Ok(VoterResponse::Welcome { .. }) => {
-                        welcome = true;
-                        say(ConnectionEvent::Connected).await?;
+                        welcomed = true;
+                        send_event(ConnectionEvent::Connected).await?;
                     }
                     Ok(VoterResponse::Pong) => {}
-                    Ok(_) if !welcome => return Some("it speaks before it welcomes".to_owned()),
-                    Ok(tell) => say(ConnectionEvent::Response(tell)).await?,
+                    Ok(_) if !welcomed => return Some("the voter sent a response before its welcome".to_owned()),
+                    Ok(response) => send_event(ConnectionEvent::Response(response)).await?,
                 }
             }
-            ask = asks.recv(), if welcome => {
-                let ask = ask?;
-                match timeout(DEAD, write(&mut to, &ask)).await {
-                    Err(_) => return Some("it does not read".to_owned()),
-                    Ok(Err(why)) => return Some(why),
-                    Ok(Ok(())) => asked = Instant::now(),
+            request = requests.recv(), if welcomed => {
+                let request = request?;
+                match timeout(RECEIVE_TIMEOUT, write_request(&mut write, &request)).await {
+                    Err(_) => return Some("the voter does not read".to_owned()),
+                    Ok(Err(reason)) => return Some(reason),
+                    Ok(Ok(())) => last_sent = Instant::now(),
                 }
             }
-            () = sleep_until(quiet) => {
-                if came.elapsed() >= DEAD {
-                    return Some(format!("nothing heard for {} s", DEAD.as_secs_f64()));
+            () = sleep_until(next_check_at) => {
+                if last_received.elapsed() >= RECEIVE_TIMEOUT {
+                    return Some(format!("nothing received for {} s", RECEIVE_TIMEOUT.as_secs_f64()));
                 }
-                asked = Instant::now();
-                match timeout(DEAD, write(&mut to, &ClientRequest::Ping)).await {
-                    Err(_) => return Some("it does not read".to_owned()),
-                    Ok(Err(why)) => return Some(why),
+                last_sent = Instant::now();
+                match timeout(RECEIVE_TIMEOUT, write_request(&mut write, &ClientRequest::Ping)).await {
+                    Err(_) => return Some("the voter does not read".to_owned()),
+                    Ok(Err(reason)) => return Some(reason),
                     Ok(Ok(())) => {}
                 }
             }
@@ -202,8 +218,10 @@
     }
 }
 
-/// Adds to `line` up to its end, its bound, or the connection's end.
-async fn read_line(lines: &mut (impl AsyncBufReadExt + Unpin), line: &mut Vec<u8>) -> std::io::Result<usize> {
-    let room = (MAX_LINE - line.len().min(MAX_LINE)) as u64;
-    lines.take(room).read_until(b'\n', line).await
+/// Appends to `line` until a newline, the maximum length, or the end of the stream.
+async fn read_line(
+    reader: &mut (impl AsyncBufReadExt + Unpin), line: &mut Vec<u8>,
+) -> std::io::Result<usize> {
+    let remaining = (MAX_LINE - line.len().min(MAX_LINE)) as u64;
+    reader.take(remaining).read_until(b'\n', line).await
 }
--- a/crates/kelpdoor-keeper/src/wire.rs
+++ b/crates/kelpdoor-keeper/src/wire.rs
@@ -1,11 +1,12 @@
-//! What crosses the socket between directors, operators and the keeper: a JSON line for each message.
+//! Messages between the keeper of seats and its clients (directors and operators): one JSON line per message.
 
 use kelpdoor_seats::{KeeperRequest, KeeperResponse};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a line to the keeper at most; names within it are bounded by the token's size.
+/// Maximum length of a line to the keeper, in bytes. The size of a token bounds the names in it.
 pub const MAX_LINE: usize = 4096;
 
+/// A message to the keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeeperClientMessage {
@@ -16,19 +17,21 @@
     Status,
 }
 
-/// A school's seats as operators see them.
+/// The seat counts of one school, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SchoolSeatCounts {
     pub school: String,
+    /// Seats that the settings give to the school.
     pub bought: u32,
     pub held: u32,
     #[serde(rename = "lent")]
     pub leased: u32,
     pub free: u32,
-    /// Held by tokens that run out within five minutes.
+    /// Held seats whose tokens expire within five minutes.
     pub expiring: u32,
 }
 
+/// A message from the keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeeperServerMessage {
@@ -36,7 +39,7 @@
     Response(KeeperResponse),
     #[serde(rename = "standing")]
     Status { directors: usize, schools: Vec<SchoolSeatCounts> },
-    /// That line was none; the connection ends.
+    /// The received line is invalid; the keeper closes the connection.
     #[serde(rename = "fault")]
     Error(String),
 }
