--- a/crates/kelpdoor-keeper/src/lib.rs
+++ b/crates/kelpdoor-keeper/src/lib.rs
@@ -1,10 +1,10 @@
-//! The keeper's process: a voter of what directors agree on, the keeper of seats, or both.
+//! The keeper's process: a voter of the directors' agreement, the keeper of seats, or both.
 //!
-//! The keeper of seats: [`Ledger`](kelpdoor_seats::Ledger) with a log on disk and directors on sockets.
+//! The keeper of seats is a [`Ledger`](kelpdoor_seats::Ledger) with a log on disk, serving directors over TCP.
 //!
-//! What changed is on disk before any answer that tells of it goes out; changes that wait together are written
-//! together. The log holds records of changes, each with its length and checksums: one cut short at the end was never
-//! answered for and is dropped, anything else that is not as it was written is named and nothing is loaded.
+//! Changes are on disk before a response that depends on them is sent; changes of one batch are written together. The log
+//! holds records of changes, each with its length and checksums. An incomplete record at the end is dropped, because no
+//! response was sent for it. Any other corruption is reported, and nothing is loaded.
 
 mod log;
 mod serve;
