--- a/crates/kelpdoor-keeper/src/serve.rs
+++ b/crates/kelpdoor-keeper/src/serve.rs
@@ -1,4 +1,5 @@
-//! The keeper's sockets and its one loop.
+//! The keeper of seats: its sockets and its event loop, which writes the changes of a batch to the log before it sends
+//! the responses.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,100 +18,108 @@
 use crate::sockets::{SocketEvent, accept};
 use crate::wire::{KeeperClientMessage, KeeperServerMessage, MAX_LINE, SchoolSeatCounts};
 
-/// Directors with a connection at most; words of more are not answered.
+/// Maximum number of connected directors; requests of further ones get no response.
 pub const MAX_CONNECTED_DIRECTORS: usize = 20_000;
-/// Lines waiting for the loop at most; readers wait beyond it.
-const ASKS: usize = 4096;
-/// Lines written down together at most.
-const BATCH: usize = 1024;
-/// Bytes of log before it is written anew, and how many times its size when last written anew.
-const REWRITE: (u64, u64) = (4 << 20, 4);
-/// s; tokens that run out so soon are shown as expiring.
-const EXPIRING: f64 = 300.0;
-/// Runs out are looked for so often though nobody asks.
-const IDLE: Duration = Duration::from_secs(1);
+/// Maximum number of events queued for the loop; beyond it, connections are not read.
+const MAX_QUEUED_EVENTS: usize = 4096;
+/// Maximum number of queued events handled before the log is written.
+const MAX_BATCH: usize = 1024;
+/// Size in bytes below which the log is not rewritten.
+const MIN_REWRITE_BYTES: u64 = 4 << 20;
+/// The log is rewritten when it has grown by this factor since the last time.
+const REWRITE_GROWTH: u64 = 4;
+/// Time to expiry below which tokens are reported as expiring, in seconds.
+const EXPIRING_WITHIN: f64 = 300.0;
+/// Interval at which expired claims are removed while no request arrives.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
+/// How a keeper is started.
 pub struct KeeperOptions {
     pub listen: SocketAddr,
-    /// Without one a restart forgets who holds what; leases then end what was held.
+    /// Path of the log. Without one a restart loses all claims; held seats then end with the directors' leases.
     pub ledger: Option<PathBuf>,
     pub lease: LeaseTerms,
+    /// Seats of each school.
     pub schools: Vec<(School, u32)>,
-    /// Where schools are agreed: what to go by instead.
+    /// If the schools are agreed: replaces `schools`.
     pub agreed: Option<AgreedSchools>,
 }
 
-/// Schools under a lease, as of its last change.
+/// The seats of schools by the agreed rules, and the lease under which they are granted.
 #[derive(Clone, Debug)]
 pub struct SchoolSeats {
     pub schools: Vec<(School, u32)>,
-    /// Of the versions, for the log.
+    /// Names the agreed versions in log messages.
     pub label: String,
-    /// Steady time: no seat is given out before, and none from then on.
+    /// Boot clock time from which seats are granted, in seconds.
     pub from: f64,
+    /// Boot clock time from which no seats are granted any more, in seconds.
     pub until: f64,
 }
 
 impl SchoolSeats {
-    /// Before any version is known.
+    /// The value before any version is known: no seats are granted.
     pub fn unknown() -> Self {
         let (from, until) = (f64::INFINITY, f64::NEG_INFINITY);
         SchoolSeats { schools: Vec::new(), label: String::new(), from, until }
     }
 }
 
-/// Who tells what is agreed, and what leases are counted by.
+/// Source of the agreed schools, and the clock that measures their lease.
 pub struct AgreedSchools {
     pub seats: watch::Receiver<SchoolSeats>,
     pub clock: BootClock,
 }
 
-enum Come {
+enum Event {
     Socket(SocketEvent<KeeperClientMessage, KeeperServerMessage>),
-    Bought(Vec<(School, u32)>),
-    End,
+    SchoolsChanged(Vec<(School, u32)>),
+    ShutDown,
 }
 
-impl From<SocketEvent<KeeperClientMessage, KeeperServerMessage>> for Come {
-    fn from(came: SocketEvent<KeeperClientMessage, KeeperServerMessage>) -> Self {
-        Come::Socket(came)
+impl From<SocketEvent<KeeperClientMessage, KeeperServerMessage>> for Event {
+    fn from(event: SocketEvent<KeeperClientMessage, KeeperServerMessage>) -> Self {
+        Event::Socket(event)
     }
 }
 
-/// A keeper at work.
+/// A running keeper. Dropping it aborts the keeper.
 pub struct RunningKeeper {
     pub address: SocketAddr,
-    to: mpsc::Sender<Come>,
+    events: mpsc::Sender<Event>,
     task: JoinHandle<Result<(), String>>,
 }
 
 impl RunningKeeper {
-    /// Schools and their seats from now on; a school that is not named any more has none.
+    /// Replaces the seats of all schools. A school that is not listed has none from now on.
     pub async fn set_schools(&self, schools: Vec<(School, u32)>) {
-        let _ = self.to.send(Come::Bought(schools)).await;
+        let _ = self.events.send(Event::SchoolsChanged(schools)).await;
     }
 
-    /// Ends when what was asked so far is written down.
+    /// Ends the keeper after the changes of the requests received so far are written.
     pub async fn shut_down(&self) {
-        let _ = self.to.send(Come::End).await;
+        let _ = self.events.send(Event::ShutDown).await;
     }
 
+    /// Waits until the keeper ends.
+    ///
     /// # Errors
-    /// Why the keeper ended, if not by [`shut_down`](Self::shut_down): its log could not be written.
+    /// If the keeper ended other than by [`shut_down`](Self::shut_down): its log could not be written, or its task panicked
+    /// or was aborted.
     pub async fn ended(&mut self) -> Result<(), String> {
         (&mut self.task).await.unwrap_or_else(|e| Err(e.to_string()))
     }
 
-    /// Ends at once, as a kill would.
+    /// Ends the keeper at once, without writing pending changes.
     pub fn abort(&self) {
         self.task.abort();
     }
 }
 
-/// Reads the ledger, binds, and starts.
+/// Reads the ledger's log, binds the address and starts the keeper.
 ///
 /// # Errors
-/// Where the ledger is not as it was written or the address cannot be bound.
+/// If the log cannot be read or is corrupted, or the address cannot be bound.
 pub async fn start(options: KeeperOptions) -> io::Result<RunningKeeper> {
     let mut clock = SlewedClock::default();
     let now = clock.now().0;
@@ -118,35 +127,35 @@
     let mut log = None;
     if let Some(path) = options.ledger {
         let opened = tokio::task::spawn_blocking(move || Log::open(&path)).await?;
-        let OpenedLog { log: of, changes, truncated_bytes: torn } = opened.map_err(io::Error::other)?;
-        if torn > 0 {
+        let OpenedLog { log: opened_log, changes, truncated_bytes } = opened.map_err(io::Error::other)?;
+        if truncated_bytes > 0 {
             tracing::warn!(
-                torn,
-                "the ledger's last record was cut short and is dropped; it was never answered"
+                torn = truncated_bytes,
+                "dropped the incomplete last record of the ledger's log; no response was sent for it"
             );
         }
         changes.iter().for_each(|c| ledger.apply(c));
         ledger.resume(now);
-        log = Some(of);
+        log = Some(opened_log);
     }
     let listener = TcpListener::bind(options.listen).await?;
     let address = listener.local_addr()?;
-    let (to, from) = mpsc::channel(ASKS);
+    let (events, queue) = mpsc::channel(MAX_QUEUED_EVENTS);
     let mut keeper = Keeper {
         clock,
         ledger,
-        rewrite_at: REWRITE.0,
+        rewrite_at: MIN_REWRITE_BYTES,
         log,
-        conns: HashMap::new(),
-        at: HashMap::new(),
-        out: Vec::new(),
+        connections: HashMap::new(),
+        director_connections: HashMap::new(),
+        responses: Vec::new(),
         agreed: options.agreed,
-        sells: None,
+        active_label: None,
     };
     keeper.set_schools(options.schools);
-    keeper.keep().await.map_err(io::Error::other)?;
-    let task = tokio::spawn(keeper.run(from, listener, to.clone()));
-    Ok(RunningKeeper { address, to, task })
+    keeper.write_changes().await.map_err(io::Error::other)?;
+    let task = tokio::spawn(keeper.run(queue, listener, events.clone()));
+    Ok(RunningKeeper { address, events, task })
 }
 
 impl Drop for RunningKeeper {
@@ -159,19 +168,20 @@
     clock: SlewedClock,
     ledger: Ledger,
     log: Option<Log>,
+    /// Size of the log in bytes from which it is rewritten.
     rewrite_at: u64,
-    conns: HashMap<u64, mpsc::Sender<KeeperServerMessage>>,
-    /// Where each director was last heard.
-    at: HashMap<DirectorId, u64>,
-    /// Answers that wait for the log.
-    out: Vec<(u64, KeeperServerMessage)>,
+    connections: HashMap<u64, mpsc::Sender<KeeperServerMessage>>,
+    /// By director, the connection of its last request.
+    director_connections: HashMap<DirectorId, u64>,
+    /// Responses to send when the changes are in the log, with their connection.
+    responses: Vec<(u64, KeeperServerMessage)>,
     agreed: Option<AgreedSchools>,
-    /// The versions by which seats are given out now, if they may be; empty before it was looked at.
-    sells: Option<String>,
+    /// Label of the agreed versions under whose lease seats are granted; `None` without a lease.
+    active_label: Option<String>,
 }
 
-fn director(word: &KeeperRequest) -> DirectorId {
-    match word {
+fn sender(request: &KeeperRequest) -> DirectorId {
+    match request {
         KeeperRequest::Hello { director, .. }
         | KeeperRequest::Beat { director, .. }
         | KeeperRequest::Claim { director, .. }
@@ -185,97 +195,99 @@
     fn now(&mut self) -> f64 {
         let (now, stepped) = self.clock.now();
         if let Some(by) = stepped {
-            tracing::warn!(by, "the wall clock was stepped; leases go on by our own time");
+            tracing::warn!(by, "the wall clock was stepped; leases follow internal time");
         }
         now
     }
 
     async fn run(
-        mut self, mut from: mpsc::Receiver<Come>, listener: TcpListener, to: mpsc::Sender<Come>,
+        mut self, mut queue: mpsc::Receiver<Event>, listener: TcpListener, events: mpsc::Sender<Event>,
     ) -> Result<(), String> {
-        // Ended with this task, however that ends.
-        let mut listen = JoinSet::new();
-        listen.spawn(accept::<KeeperClientMessage, KeeperServerMessage, Come>(
+        // Dropping the set aborts the listener when this task ends for any reason.
+        let mut listener_task = JoinSet::new();
+        listener_task.spawn(accept::<KeeperClientMessage, KeeperServerMessage, Event>(
             listener,
-            to,
+            events,
             MAX_LINE,
             KeeperServerMessage::Error,
         ));
-        let done = self.work(&mut from).await;
-        if let Err(why) = &done {
-            tracing::error!(%why, "the keeper of seats ends");
+        let result = self.run_loop(&mut queue).await;
+        if let Err(why) = &result {
+            tracing::error!(%why, "the keeper of seats ends after an error");
         }
-        done
+        result
     }
 
-    async fn work(&mut self, from: &mut mpsc::Receiver<Come>) -> Result<(), String> {
+    async fn run_loop(&mut self, queue: &mut mpsc::Receiver<Event>) -> Result<(), String> {
         loop {
             let first = tokio::select! {
-                first = from.recv() => first,
-                () = sleep(IDLE) => None,
+                first = queue.recv() => first,
+                () = sleep(SWEEP_INTERVAL) => None,
             };
             let now = self.now();
-            let mut end = false;
+            let mut shut_down = false;
             self.ledger.sweep(now);
-            self.look();
+            self.apply_agreed_schools();
             if let Some(first) = first {
-                end |= self.come(now, first);
+                shut_down |= self.handle_event(now, first);
             }
-            for _ in 0..BATCH {
-                let Ok(next) = from.try_recv() else { break };
-                end |= self.come(now, next);
+            for _ in 0..MAX_BATCH {
+                let Ok(next) = queue.try_recv() else { break };
+                shut_down |= self.handle_event(now, next);
             }
-            self.keep().await?;
-            for (conn, tell) in std::mem::take(&mut self.out) {
-                if self.conns.get(&conn).is_some_and(|to| to.try_send(tell).is_err()) {
-                    // It does not read: closed, and words are said again on a new connection.
-                    self.conns.remove(&conn);
+            self.write_changes().await?;
+            for (connection, response) in std::mem::take(&mut self.responses) {
+                if self.connections.get(&connection).is_some_and(|to| to.try_send(response).is_err()) {
+                    // The client does not read. The connection is closed; the client repeats its requests on a new one.
+                    self.connections.remove(&connection);
                 }
             }
-            if end {
+            if shut_down {
                 return Ok(());
             }
         }
     }
 
-    /// Whether that was the end.
-    fn come(&mut self, now: f64, come: Come) -> bool {
-        match come {
-            Come::Socket(SocketEvent::Opened(conn, to)) => {
-                self.conns.insert(conn, to);
+    /// Handles an event; returns whether the keeper shuts down.
+    fn handle_event(&mut self, now: f64, event: Event) -> bool {
+        match event {
+            Event::Socket(SocketEvent::Opened(connection, responses)) => {
+                self.connections.insert(connection, responses);
             }
-            Come::Socket(SocketEvent::Closed(conn)) => {
-                self.conns.remove(&conn);
-                self.at.retain(|_, at| *at != conn);
+            Event::Socket(SocketEvent::Closed(connection)) => {
+                self.connections.remove(&connection);
+                self.director_connections.retain(|_, c| *c != connection);
             }
-            Come::Socket(SocketEvent::Received(conn, KeeperClientMessage::Request(word))) => {
-                // At each claim: we may have stood still since the last.
-                self.look();
-                let from = director(&word);
-                if self.at.len() >= MAX_CONNECTED_DIRECTORS && !self.at.contains_key(&from) {
+            Event::Socket(SocketEvent::Received(connection, KeeperClientMessage::Request(request))) => {
+                // Checked with each request, because the process may have been paused since the last one.
+                self.apply_agreed_schools();
+                let director = sender(&request);
+                if self.director_connections.len() >= MAX_CONNECTED_DIRECTORS
+                    && !self.director_connections.contains_key(&director)
+                {
                     return false;
                 }
-                self.at.insert(from, conn);
-                for (to, word) in self.ledger.handle_request(now, &word) {
-                    if let Some(conn) = self.at.get(&to) {
-                        self.out.push((*conn, KeeperServerMessage::Response(word)));
+                self.director_connections.insert(director, connection);
+                for (to, response) in self.ledger.handle_request(now, &request) {
+                    if let Some(connection) = self.director_connections.get(&to) {
+                        self.responses.push((*connection, KeeperServerMessage::Response(response)));
                     }
                 }
             }
-            Come::Socket(SocketEvent::Received(conn, KeeperClientMessage::Status)) => {
-                let tell = self.standing(now);
-                self.out.push((conn, tell));
+            Event::Socket(SocketEvent::Received(connection, KeeperClientMessage::Status)) => {
+                let response = self.status(now);
+                self.responses.push((connection, response));
             }
-            Come::Bought(schools) => self.set_schools(schools),
-            Come::End => return true,
+            Event::SchoolsChanged(schools) => self.set_schools(schools),
+            Event::ShutDown => return true,
         }
         false
     }
 
-    fn standing(&self, now: f64) -> KeeperServerMessage {
-        let of = |school: &School| {
+    fn status(&self, now: f64) -> KeeperServerMessage {
+        let seat_counts = |school: &School| {
             let s = self.ledger.status(school);
-            let expiring = self.ledger.expiring(school, now + EXPIRING);
+            let expiring = self.ledger.expiring(school, now + EXPIRING_WITHIN);
             let school = school.0.clone();
             SchoolSeatCounts {
                 school,
@@ -288,28 +300,30 @@
         };
         KeeperServerMessage::Status {
             directors: self.ledger.directors(),
-            schools: self.ledger.schools().map(of).collect(),
+            schools: self.ledger.schools().map(seat_counts).collect(),
         }
     }
 
-    /// Where schools are agreed: those of the lease, or none.
-    fn look(&mut self) {
+    /// If schools are agreed: sets the seats that the lease allows now, or none without a lease.
+    fn apply_agreed_schools(&mut self) {
         let Some(agreed) = &mut self.agreed else { return };
         let now = agreed.clock.now();
-        let sold = agreed.seats.borrow_and_update();
-        let sells = (sold.from <= now && now < sold.until).then(|| sold.label.clone());
-        if self.sells == sells {
+        let seats = agreed.seats.borrow_and_update();
+        let active_label = (seats.from <= now && now < seats.until).then(|| seats.label.clone());
+        if self.active_label == active_label {
             return;
         }
-        let schools = if sells.is_some() { sold.schools.clone() } else { Vec::new() };
-        drop(sold);
-        match &sells {
-            Some(label) => tracing::info!(label, schools = schools.len(), "the agreed schools"),
+        let schools = if active_label.is_some() { seats.schools.clone() } else { Vec::new() };
+        drop(seats);
+        match &active_label {
+            Some(label) => {
+                tracing::info!(label, schools = schools.len(), "granting seats of the agreed schools")
+            }
             None => {
-                tracing::warn!("no lease on the agreed schools: what is held is held, no seat is given out")
+                tracing::warn!("no lease on the agreed schools; held seats stay held, no seat is granted")
             }
         }
-        self.sells = sells;
+        self.active_label = active_label;
         self.set_schools(schools);
     }
 
@@ -325,26 +339,26 @@
         }
     }
 
-    /// What changed goes to disk, in one write with one sync.
-    async fn keep(&mut self) -> Result<(), String> {
+    /// Writes the ledger's changes to the log, with one write and one sync.
+    async fn write_changes(&mut self) -> Result<(), String> {
         let changes = self.ledger.take_changes();
         if changes.is_empty() {
             return Ok(());
         }
         let Some(mut log) = self.log.take() else { return Ok(()) };
-        let whole = (log.bytes() > self.rewrite_at).then(|| self.ledger.snapshot());
-        let kept = tokio::task::spawn_blocking(move || {
-            // All that stands has these changes in it. A log that cannot be replaced is written on.
-            let rewritten = whole.is_some_and(|whole| log.rewrite(&whole).is_ok());
+        let snapshot = (log.bytes() > self.rewrite_at).then(|| self.ledger.snapshot());
+        let written = tokio::task::spawn_blocking(move || {
+            // The snapshot includes these changes. If the log cannot be replaced, they are appended to it.
+            let rewritten = snapshot.is_some_and(|snapshot| log.rewrite(&snapshot).is_ok());
             if !rewritten {
                 log.append(&changes)?;
             }
             io::Result::Ok((log, rewritten))
         });
         let (log, rewritten) =
-            kept.await.map_err(|e| e.to_string())?.map_err(|e| format!("the ledger's log: {e}"))?;
+            written.await.map_err(|e| e.to_string())?.map_err(|e| format!("the ledger's log: {e}"))?;
         if rewritten {
-            self.rewrite_at = (log.bytes() * REWRITE.1).max(REWRITE.0);
+            self.rewrite_at = (log.bytes() * REWRITE_GROWTH).max(MIN_REWRITE_BYTES);
         }
         self.log = Some(log);
         Ok(())
