--- a/crates/kelpdoor-keeper/tests/kept.rs
+++ b/crates/kelpdoor-keeper/tests/kept.rs
@@ -1,5 +1,5 @@
-//! The ledger on disk, cut and flipped at every byte; the keeper on sockets, killed between writing and answering, fed
-//! with lines that are none, and with its pool shrunk.
+//! The ledger's log truncated and corrupted at every byte; the keeper aborted between writing and responding, sent invalid
+//! lines, and with a reduced number of seats.
 
 use std::path::Path;
 use std::time::Duration;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn any_cut_leaves_whole_records_and_any_flipped_byte_is_named() {
+fn truncated_log_keeps_complete_records_and_corrupted_byte_is_reported() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("ledger");
     let parts = some_changes();
@@ -61,7 +61,7 @@
         let whole = ends.iter().filter(|e| **e <= cut).count();
         let opened = Log::open(&path).unwrap_or_else(|e| panic!("cut at {cut}: {e}"));
         assert_eq!(opened.changes, parts[..whole].concat(), "cut at {cut}");
-        // And it can be written on.
+        // The log can be appended to.
         let mut log = opened.log;
         log.append(&parts[0]).expect("written");
         let again = Log::open(&path).expect("good").changes;
@@ -71,14 +71,15 @@
         let mut bad = good.clone();
         bad[at] ^= 0x10;
         std::fs::write(&path, &bad).expect("written");
-        let fault = Log::open(&path).err().unwrap_or_else(|| panic!("byte {at} flipped, and not found"));
-        assert!(fault.to_string().contains("ledger"), "{fault}");
-        assert_eq!(std::fs::read(&path).expect("readable"), bad, "a bad file is left as it is");
+        let error =
+            Log::open(&path).err().unwrap_or_else(|| panic!("corruption of byte {at} is not detected"));
+        assert!(error.to_string().contains("ledger"), "{error}");
+        assert_eq!(std::fs::read(&path).expect("readable"), bad, "a corrupted file is not changed");
     }
 }
 
 #[test]
-fn a_log_written_anew_holds_the_same_and_is_smaller() {
+fn rewritten_log_has_the_same_content_and_is_smaller() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("ledger");
     let mut ledger = Ledger::new(LEASE);
@@ -95,8 +96,8 @@
         log.append(&ledger.take_changes()).expect("written");
     }
     let before = log.bytes();
-    log.rewrite(&ledger.snapshot()).expect("written anew");
-    log.append(&[]).expect("and on");
+    log.rewrite(&ledger.snapshot()).expect("rewritten");
+    log.append(&[]).expect("appended");
     assert!(log.bytes() * 4 < before, "{} of {before}", log.bytes());
     let mut again = Ledger::new(LEASE);
     Log::open(&path).expect("good").changes.iter().for_each(|c| again.apply(c));
@@ -108,8 +109,8 @@
     write: OwnedWriteHalf,
 }
 
-async fn within<T>(what: impl Future<Output = T>) -> T {
-    timeout(Duration::from_secs(10), what).await.expect("in time")
+async fn within_limit<T>(future: impl Future<Output = T>) -> T {
+    timeout(Duration::from_secs(10), future).await.expect("in time")
 }
 
 impl Director {
@@ -118,39 +119,39 @@
         Director { lines: BufReader::new(read).lines(), write }
     }
 
-    async fn say(&mut self, ask: &KeeperClientMessage) {
-        let mut text = serde_json::to_vec(ask).expect("plain data");
+    async fn send(&mut self, message: &KeeperClientMessage) {
+        let mut text = serde_json::to_vec(message).expect("plain data");
         text.push(b'\n');
         self.write.write_all(&text).await.expect("written");
     }
 
-    async fn hear(&mut self) -> KeeperServerMessage {
-        let line = within(self.lines.next_line()).await.expect("readable").expect("a line");
+    async fn receive(&mut self) -> KeeperServerMessage {
+        let line = within_limit(self.lines.next_line()).await.expect("readable").expect("a line");
         serde_json::from_str(&line).expect("an answer")
     }
 
-    async fn word(&mut self, word: KeeperRequest) -> KeeperResponse {
-        self.say(&KeeperClientMessage::Request(word)).await;
-        match self.hear().await {
-            KeeperServerMessage::Response(word) => word,
+    async fn request(&mut self, request: KeeperRequest) -> KeeperResponse {
+        self.send(&KeeperClientMessage::Request(request)).await;
+        match self.receive().await {
+            KeeperServerMessage::Response(response) => response,
             other => panic!("{other:?}"),
         }
     }
 
-    async fn standing(&mut self) -> SchoolSeatCounts {
-        self.say(&KeeperClientMessage::Status).await;
-        match self.hear().await {
+    async fn status(&mut self) -> SchoolSeatCounts {
+        self.send(&KeeperClientMessage::Status).await;
+        match self.receive().await {
             KeeperServerMessage::Status { mut schools, .. } => schools.remove(0),
             other => panic!("{other:?}"),
         }
     }
 }
 
-async fn keeper(ledger: &Path, seats: u32) -> RunningKeeper {
-    keeper_by(ledger, vec![(school(), seats)], None).await
+async fn start_keeper(ledger: &Path, seats: u32) -> RunningKeeper {
+    start_keeper_with(ledger, vec![(school(), seats)], None).await
 }
 
-async fn keeper_by(
+async fn start_keeper_with(
     ledger: &Path, schools: Vec<(School, u32)>, agreed: Option<AgreedSchools>,
 ) -> RunningKeeper {
     let options = KeeperOptions {
@@ -171,17 +172,17 @@
 }
 
 #[tokio::test]
-async fn killed_between_write_and_answer_it_counts_the_seat_once() {
+async fn abort_between_write_and_response_counts_the_seat_once() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("ledger");
-    let mut first = keeper(&path, 1).await;
+    let mut first = start_keeper(&path, 1).await;
     let mut d = Director::connect(&first).await;
     let hello = KeeperRequest::Hello { director: DirectorId(4), nonce: 9 };
-    assert_eq!(d.word(hello.clone()).await, KeeperResponse::Welcome { nonce: 9, epoch: Epoch(1) });
+    assert_eq!(d.request(hello.clone()).await, KeeperResponse::Welcome { nonce: 9, epoch: Epoch(1) });
     let before = std::fs::metadata(&path).expect("a ledger").len();
-    d.say(&KeeperClientMessage::Request(claim("a", 1))).await;
-    // As soon as the claim is on disk the keeper is gone, whether or not its answer went out.
-    within(async {
+    d.send(&KeeperClientMessage::Request(claim("a", 1))).await;
+    // The keeper is aborted as soon as the claim is on disk, whether or not it has sent the response.
+    within_limit(async {
         while std::fs::metadata(&path).expect("a ledger").len() == before {
             tokio::task::yield_now().await;
         }
@@ -189,49 +190,49 @@
     .await;
     first.abort();
     assert!(first.ended().await.is_err());
-    let second = keeper(&path, 1).await;
+    let second = start_keeper(&path, 1).await;
     let mut d = Director::connect(&second).await;
-    // The same start of the director keeps its epoch, the same claim its seat, and no other gets one.
-    assert_eq!(d.word(hello).await, KeeperResponse::Welcome { nonce: 9, epoch: Epoch(1) });
-    assert!(matches!(d.word(claim("a", 1)).await, KeeperResponse::Granted { .. }));
-    assert!(matches!(d.word(claim("b", 2)).await, KeeperResponse::Full { .. }));
-    let s = d.standing().await;
+    // The same nonce keeps the director's epoch, the same claim keeps its seat, and another claim gets none.
+    assert_eq!(d.request(hello).await, KeeperResponse::Welcome { nonce: 9, epoch: Epoch(1) });
+    assert!(matches!(d.request(claim("a", 1)).await, KeeperResponse::Granted { .. }));
+    assert!(matches!(d.request(claim("b", 2)).await, KeeperResponse::Full { .. }));
+    let s = d.status().await;
     assert_eq!((s.bought, s.held, s.free), (1, 1, 0));
 }
 
 #[tokio::test]
-async fn a_line_that_is_none_ends_its_connection_alone_and_a_pool_may_shrink() {
+async fn invalid_line_closes_only_its_connection_and_seats_can_be_reduced() {
     let dir = tempfile::tempdir().expect("a folder");
-    let keeper = keeper(&dir.path().join("ledger"), 2).await;
+    let keeper = start_keeper(&dir.path().join("ledger"), 2).await;
     let mut good = Director::connect(&keeper).await;
-    good.word(KeeperRequest::Hello { director: DirectorId(4), nonce: 9 }).await;
+    good.request(KeeperRequest::Hello { director: DirectorId(4), nonce: 9 }).await;
     for bad in ["what?\n".to_owned(), "x".repeat(5000)] {
         let mut other = Director::connect(&keeper).await;
         other.write.write_all(bad.as_bytes()).await.expect("written");
-        assert!(matches!(other.hear().await, KeeperServerMessage::Error(_)));
-        assert!(within(other.lines.next_line()).await.is_ok_and(|l| l.is_none()));
+        assert!(matches!(other.receive().await, KeeperServerMessage::Error(_)));
+        assert!(within_limit(other.lines.next_line()).await.is_ok_and(|l| l.is_none()));
     }
     for (n, token) in ["a", "b"].into_iter().enumerate() {
-        assert!(matches!(good.word(claim(token, n as u64 + 1)).await, KeeperResponse::Granted { .. }));
+        assert!(matches!(good.request(claim(token, n as u64 + 1)).await, KeeperResponse::Granted { .. }));
     }
     keeper.set_schools(vec![(school(), 1), (School("ida".into()), 3)]).await;
-    let s = good.standing().await;
+    let s = good.status().await;
     assert_eq!(s.school, "ida");
-    assert!(matches!(good.word(claim("c", 3)).await, KeeperResponse::Full { .. }));
-    assert!(matches!(good.word(claim("a", 4)).await, KeeperResponse::Granted { .. }));
+    assert!(matches!(good.request(claim("c", 3)).await, KeeperResponse::Full { .. }));
+    assert!(matches!(good.request(claim("a", 4)).await, KeeperResponse::Granted { .. }));
 }
 
 #[tokio::test]
-async fn agreed_seats_are_given_out_under_a_lease_alone_looked_at_with_each_claim() {
+async fn agreed_seats_are_granted_only_under_a_lease_checked_with_each_claim() {
     let dir = tempfile::tempdir().expect("a folder");
     let clock = BootClock::new(1.0);
     let (tell, seats) = watch::channel(SchoolSeats::unknown());
     let agreed = Some(AgreedSchools { seats, clock });
-    let keeper = keeper_by(&dir.path().join("ledger"), Vec::new(), agreed).await;
+    let keeper = start_keeper_with(&dir.path().join("ledger"), Vec::new(), agreed).await;
     let mut d = Director::connect(&keeper).await;
-    d.word(KeeperRequest::Hello { director: DirectorId(4), nonce: 9 }).await;
+    d.request(KeeperRequest::Hello { director: DirectorId(4), nonce: 9 }).await;
     let now = clock.now();
-    // Nothing known; not begun; under a lease; over, as after a pause; and under one again, by a newer version.
+    // No version known; lease not started; valid lease; expired lease, as after a pause; valid lease of a newer version.
     let leases = [
         None,
         Some((now + 900.0, now + 999.0, 5)),
@@ -239,7 +240,7 @@
         Some((now, now, 2)),
         Some((now, now + 999.0, 3)),
     ];
-    let mut said = String::new();
+    let mut results = String::new();
     for (k, lease) in leases.into_iter().enumerate() {
         if let Some((from, until, seats)) = lease {
             tell.send_replace(SchoolSeats {
@@ -251,13 +252,13 @@
         }
         for token in ["a", "b"] {
             let granted = matches!(
-                d.word(claim(&format!("{token}{k}"), said.len() as u64 + 1)).await,
+                d.request(claim(&format!("{token}{k}"), results.len() as u64 + 1)).await,
                 KeeperResponse::Granted { .. }
             );
-            said += if granted { "granted " } else { "full " };
+            results += if granted { "granted " } else { "full " };
         }
     }
-    // What was held all along stays.
-    assert!(matches!(d.word(claim("a2", 999)).await, KeeperResponse::Granted { .. }));
-    expect_test::expect!["full full full full granted granted full full granted full "].assert_eq(&said);
+    // A held seat stays held.
+    assert!(matches!(d.request(claim("a2", 999)).await, KeeperResponse::Granted { .. }));
+    expect_test::expect!["full full full full granted granted full full granted full "].assert_eq(&results);
 }
--- a/crates/kelpdoor-keeper/tests/voter.rs
+++ b/crates/kelpdoor-keeper/tests/voter.rs
@@ -1,5 +1,5 @@
-//! Voters on sockets and disks: what is garbled, endless, of another fleet, flipped or full is refused by name, and what is
-//! agreed stands.
+//! Voters with sockets and stores. Invalid, overlong and foreign messages and corrupted or unwritable stores are reported,
+//! and agreed versions are kept.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
 "#;
 
 /// Addresses that are free now.
-async fn free(n: usize) -> Vec<SocketAddr> {
+async fn free_addresses(n: usize) -> Vec<SocketAddr> {
     let mut held = Vec::new();
     for _ in 0..n {
         held.push(tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap());
@@ -31,7 +31,7 @@
     VoterOptions {
         me: VoterId(me),
         voters: (0..).zip(voters.iter().copied()).collect(),
-        // What documents here name is nowhere.
+        // Nothing listens at the addresses in the documents.
         reach: (0..).zip(voters.iter().copied()).collect(),
         listen: voters[usize::from(me)],
         fleet: "test".into(),
@@ -48,29 +48,29 @@
 struct Client(BufReader<TcpStream>);
 
 impl Client {
-    async fn raw(at: SocketAddr) -> Client {
+    async fn connect(at: SocketAddr) -> Client {
         Client(BufReader::new(TcpStream::connect(at).await.unwrap()))
     }
 
     async fn new(at: SocketAddr) -> Client {
-        let mut client = Client::raw(at).await;
-        client.say(&ClientRequest::Hello { fleet: "test".to_owned() }).await;
-        assert!(matches!(client.hear().await, Some(VoterResponse::Welcome { .. })));
+        let mut client = Client::connect(at).await;
+        client.send(&ClientRequest::Hello { fleet: "test".to_owned() }).await;
+        assert!(matches!(client.receive().await, Some(VoterResponse::Welcome { .. })));
         client
     }
 
-    async fn bytes(&mut self, bytes: &[u8]) {
-        // The other side may close before it has read all.
+    async fn send_bytes(&mut self, bytes: &[u8]) {
+        // The voter may close the connection before it has read everything.
         let _ = self.0.get_mut().write_all(bytes).await;
     }
 
-    async fn say(&mut self, ask: &ClientRequest) {
-        let mut text = serde_json::to_vec(ask).unwrap();
+    async fn send(&mut self, request: &ClientRequest) {
+        let mut text = serde_json::to_vec(request).unwrap();
         text.push(b'\n');
-        self.bytes(&text).await;
+        self.send_bytes(&text).await;
     }
 
-    async fn hear(&mut self) -> Option<VoterResponse> {
+    async fn receive(&mut self) -> Option<VoterResponse> {
         let mut line = String::new();
         match self.0.read_line(&mut line).await {
             Ok(0) | Err(_) => None,
@@ -78,21 +78,21 @@
         }
     }
 
-    async fn ask(&mut self, ask: &ClientRequest) -> VoterResponse {
-        self.say(ask).await;
-        self.hear().await.expect("an answer")
+    async fn request(&mut self, request: &ClientRequest) -> VoterResponse {
+        self.send(request).await;
+        self.receive().await.expect("a response")
     }
 
     async fn propose(&mut self, after: u64, text: &str) -> VoterResponse {
         let value = Value { id: fastrand::u64(..), text: text.into() };
-        self.ask(&ClientRequest::Propose { after, value, sure: false }).await
+        self.request(&ClientRequest::Propose { after, value, sure: false }).await
     }
 }
 
-async fn three(dir: &Path) -> (Vec<SocketAddr>, Vec<RunningVoter>) {
-    // An address that was free may be taken a moment later; then with others.
+async fn start_three_voters(dir: &Path) -> (Vec<SocketAddr>, Vec<RunningVoter>) {
+    // Another process may take an address that was free a moment ago; then other addresses are tried.
     for _ in 0..10 {
-        let at = free(3).await;
+        let at = free_addresses(3).await;
         let mut voters = Vec::new();
         for me in 0..3u8 {
             let own = dir.join(me.to_string());
@@ -104,16 +104,16 @@
             return (at, voters);
         }
     }
-    panic!("no three voters start");
+    panic!("three voters did not start");
 }
 
-/// Proposes until the voters have found each other.
+/// Proposes `text` until the voters have connected to each other and agree on it.
 async fn agree(at: SocketAddr, after: u64, text: &str) -> u64 {
     let mut client = Client::new(at).await;
     for _ in 0..1000 {
         match client.propose(after, text).await {
             VoterResponse::Agreed { number } => return number,
-            // Asked again, as an operator would.
+            // Repeated, as an operator would.
             VoterResponse::Unknown { .. } | VoterResponse::NotTaken { .. } => {
                 tokio::time::sleep(std::time::Duration::from_millis(20)).await;
             }
@@ -124,40 +124,43 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_is_no_question_is_refused_by_name_and_what_is_agreed_stands() {
+async fn invalid_requests_are_rejected_with_a_reason_and_agreed_versions_are_kept() {
     let dir = tempfile::tempdir().unwrap();
-    let (at, _voters) = three(dir.path()).await;
+    let (at, _voters) = start_three_voters(dir.path()).await;
     assert_eq!(agree(at[0], 0, DOCUMENT).await, 1);
 
-    let mut other = Client::raw(at[0]).await;
-    other.say(&ClientRequest::Hello { fleet: "other".to_owned() }).await;
+    let mut other = Client::connect(at[0]).await;
+    other.send(&ClientRequest::Hello { fleet: "other".to_owned() }).await;
     let why = "this is a voter of fleet \"test\", not of \"other\"";
-    assert_eq!(other.hear().await, Some(VoterResponse::Fault(why.into())));
-    assert_eq!(other.hear().await, None, "closed");
+    assert_eq!(other.receive().await, Some(VoterResponse::Fault(why.into())));
+    assert_eq!(other.receive().await, None, "closed");
 
-    let mut rude = Client::raw(at[0]).await;
-    rude.say(&ClientRequest::Status).await;
-    assert_eq!(rude.hear().await, Some(VoterResponse::Fault("the first line names the fleet".into())));
+    let mut without_hello = Client::connect(at[0]).await;
+    without_hello.send(&ClientRequest::Status).await;
+    assert_eq!(
+        without_hello.receive().await,
+        Some(VoterResponse::Fault("the first line names the fleet".into()))
+    );
 
-    let mut garbled = Client::new(at[0]).await;
-    garbled.bytes(b"{\"renew\":{\"name\":7}}\n").await;
+    let mut invalid = Client::new(at[0]).await;
+    invalid.send_bytes(b"{\"renew\":{\"name\":7}}\n").await;
     assert!(
-        matches!(garbled.hear().await, Some(VoterResponse::Fault(why)) if why.starts_with("not a message: "))
+        matches!(invalid.receive().await, Some(VoterResponse::Fault(why)) if why.starts_with("not a message: "))
     );
 
-    let mut endless = Client::new(at[0]).await;
+    let mut overlong = Client::new(at[0]).await;
     let part = vec![b'x'; 1 << 16];
     for _ in 0..=MAX_LINE / part.len() {
-        endless.bytes(&part).await;
+        overlong.send_bytes(&part).await;
     }
     let mut end = Vec::new();
-    let _ = endless.0.read_to_end(&mut end).await;
+    let _ = overlong.0.read_to_end(&mut end).await;
     assert!(end.is_empty() || String::from_utf8_lossy(&end).contains("a line of more than"));
 
     let mut client = Client::new(at[0]).await;
-    // A version from nowhere, which is none.
+    // A version from an unknown voter that cannot be parsed.
     client
-        .say(&ClientRequest::Voter {
+        .send(&ClientRequest::Voter {
             from: VoterId(9),
             word: VoterMessage::Learn { number: 7, id: 1, text: "no".into() },
         })
@@ -175,15 +178,15 @@
     assert_eq!(refused(7, DOCUMENT).await, "version 7 is not known here, the newest is 1");
     assert!(matches!(client.propose(0, DOCUMENT).await, VoterResponse::Lost { newest: 1, .. }));
     assert!(matches!(
-        client.ask(&ClientRequest::Status).await,
+        client.request(&ClientRequest::Status).await,
         VoterResponse::Status { newest: 1, votes: true, .. }
     ));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_voter_is_put_on_the_list_once_it_is_heard_of_and_decides_from_then_on() {
+async fn voter_that_is_ready_can_be_added_and_then_takes_part_in_decisions() {
     let dir = tempfile::tempdir().unwrap();
-    let (at, mut voters) = three(dir.path()).await;
+    let (at, mut voters) = start_three_voters(dir.path()).await;
     assert_eq!(agree(at[0], 0, DOCUMENT).await, 1);
     let next = DOCUMENT.replace("\"127.0.0.1:3\"]", "\"127.0.0.1:3\", \"127.0.0.1:4\", \"127.0.0.1:5\"]");
     let mut client = Client::new(at[0]).await;
@@ -207,12 +210,12 @@
         };
         voters.push(start_voter(joins).await.unwrap());
     }
-    // They are dialled by their agreed addresses: here, for want of any that is known before, by new ones.
+    // The settings of the others have no address of the new voters, so the document names the real addresses.
     let all: Vec<String> = voters.iter().map(|v| format!("{:?}", v.address.to_string())).collect();
     let next = DOCUMENT
         .replace("[\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]", &format!("[{}]", all.join(", ")));
     assert_eq!(agree(at[0], 1, &next).await, 2);
-    // Of five: with two founders gone the other three decide.
+    // With two of the five voters shut down, the other three decide.
     for v in &mut voters[..2] {
         v.shut_down().await;
         v.ended().await.unwrap();
@@ -221,9 +224,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_store_that_is_flipped_cut_or_another_s_is_not_voted_with() {
+async fn corrupted_truncated_or_foreign_store_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
-    let (at, mut voters) = three(dir.path()).await;
+    let (at, mut voters) = start_three_voters(dir.path()).await;
     assert_eq!(agree(at[0], 0, DOCUMENT).await, 1);
     for v in &mut voters {
         v.shut_down().await;
@@ -231,7 +234,7 @@
     }
     drop(voters);
     let why = async |me: u8, found: bool| {
-        // Wherever it listens: its old address may be another's by now.
+        // On any free port: another process may use the old address by now.
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
         match start_voter(VoterOptions { listen, ..options(me, &at, dir.path(), found) }).await {
             Ok(_) => "it starts".to_owned(),
@@ -254,28 +257,28 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_voter_whose_disk_takes_nothing_ends_before_it_answers_and_the_others_go_on() {
+async fn voter_that_cannot_write_ends_without_a_response_and_the_others_continue() {
     let dir = tempfile::tempdir().unwrap();
-    let (at, mut voters) = three(dir.path()).await;
+    let (at, mut voters) = start_three_voters(dir.path()).await;
     assert_eq!(agree(at[0], 0, DOCUMENT).await, 1);
     std::fs::remove_dir_all(dir.path().join("0")).unwrap();
     let next = format!("{DOCUMENT}# second\n");
-    // Asked of the one that cannot write: no answer, for none would rest on anything.
+    // The voter that cannot write its store must not respond.
     let mut client = Client::new(at[0]).await;
     client
-        .say(&ClientRequest::Propose { after: 1, value: Value { id: 5, text: next.clone() }, sure: false })
+        .send(&ClientRequest::Propose { after: 1, value: Value { id: 5, text: next.clone() }, sure: false })
         .await;
-    assert_eq!(client.hear().await, None);
+    assert_eq!(client.receive().await, None);
     let why = voters[0].ended().await.unwrap_err();
     assert!(why.contains("No such file"), "{why}");
     assert_eq!(agree(at[1], 1, &next).await, 2);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_word_leaves_before_what_it_rests_on_is_written() {
+async fn message_is_sent_only_after_its_state_is_written() {
     let dir = tempfile::tempdir().unwrap();
     std::fs::create_dir(dir.path().join("0")).unwrap();
-    // The test is voter 1; voter 2 is nowhere.
+    // The test acts as voter 1; nothing listens at the address of voter 2.
     let other = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     let at = [nowhere, other.local_addr().unwrap(), nowhere];
@@ -285,8 +288,8 @@
     let mut from = Client(BufReader::new(stream));
     let mut welcome = serde_json::to_vec(&VoterResponse::Welcome { me: VoterId(1) }).unwrap();
     welcome.push(b'\n');
-    from.bytes(&welcome).await;
-    let mut words = async || loop {
+    from.send_bytes(&welcome).await;
+    let mut next_message = async || loop {
         let mut line = String::new();
         match from.0.read_line(&mut line).await {
             Ok(0) | Err(_) => return None,
@@ -305,12 +308,18 @@
         from: VoterId(1),
         word: VoterMessage::Prepare { number: 1, ballot: ballot(round) },
     };
-    client.say(&prepare(1)).await;
-    assert_eq!(words().await, Some(VoterMessage::Promise { number: 1, ballot: ballot(1), accepted: None }));
+    client.send(&prepare(1)).await;
+    assert_eq!(
+        next_message().await,
+        Some(VoterMessage::Promise { number: 1, ballot: ballot(1), accepted: None })
+    );
     let kept = std::fs::read_to_string(store(0, dir.path())).unwrap();
-    assert!(kept.contains(r#""promised":{"round":1,"voter":1}"#), "promised, and not on disk: {kept}");
+    assert!(
+        kept.contains(r#""promised":{"round":1,"voter":1}"#),
+        "the promise was sent but is not on disk: {kept}"
+    );
     std::fs::remove_dir_all(dir.path().join("0")).unwrap();
-    client.say(&prepare(2)).await;
-    assert!(voter.ended().await.is_err(), "it cannot write its promise");
-    assert_eq!(words().await, None, "and says nothing of it");
+    client.send(&prepare(2)).await;
+    assert!(voter.ended().await.is_err(), "the voter cannot write its promise");
+    assert_eq!(next_message().await, None, "the voter must not send the promise");
 }
