--- a/crates/kelpdoor-director/src/keeper_client.rs
+++ b/crates/kelpdoor-director/src/keeper_client.rs
@@ -1,5 +1,5 @@
-//! The way to the keeper of seats: its connection, made anew whenever it breaks, and the keeper itself where it runs
-//! in this process. Words that find no connection are dropped: the desk says them again.
+//! Client of the keeper of seats: reconnects whenever the connection breaks, and starts the keeper if it runs in this
+//! process. Requests that find no connection are dropped: the director's core repeats them.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,13 +17,15 @@
 use crate::effect::Input;
 use crate::roster::MAX_LINE;
 
-/// s; wait before the keeper is connected again, at first and at most; also the longest wait for a connection.
-const WAIT: (f64, f64) = (0.1, 5.0);
+/// First delay before the keeper is connected again, in seconds; doubled with each attempt.
+const MIN_RECONNECT_DELAY: f64 = 0.1;
+/// Longest delay before the keeper is connected again, in seconds; also the time limit for connecting.
+const MAX_RECONNECT_DELAY: f64 = 5.0;
 
-/// How long a keeper is waited for that has not read our last words.
-const LAST_READ: Duration = Duration::from_millis(500);
+/// Time limit at shutdown for the keeper to read the last requests and close the connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a keeper is started with, by its settings.
+/// Options to start a keeper with these settings.
 pub fn keeper_options(keeper: &Keeper, schools: &[School]) -> KeeperOptions {
     KeeperOptions {
         listen: keeper.listen.unwrap_or_else(|| SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
@@ -34,13 +36,18 @@
     }
 }
 
-/// Schools as a keeper counts them.
+/// The seats of each school, by the name under which a keeper counts them.
 pub fn seat_pools(schools: &[School]) -> Vec<(kelpdoor_seats::School, u32)> {
     schools.iter().map(|s| (seat_pool(&s.name, s.seat_class.as_deref()), s.seats)).collect()
 }
 
-/// The keeper's address, and the keeper if it runs here.
-pub async fn find(keeper: &Keeper, schools: &[School]) -> io::Result<(SocketAddr, Option<RunningKeeper>)> {
+/// Returns the keeper's address, and the keeper if it runs in this process, which this starts.
+///
+/// # Errors
+/// If the keeper cannot be started.
+pub async fn resolve_or_start(
+    keeper: &Keeper, schools: &[School],
+) -> io::Result<(SocketAddr, Option<RunningKeeper>)> {
     if let Some(address) = keeper.address {
         return Ok((address, None));
     }
@@ -48,43 +55,43 @@
     Ok((running.address, Some(running)))
 }
 
-/// Carries words to and fro until the desk's side is closed and all it said is written.
-pub async fn follow(
-    address: SocketAddr, inputs: mpsc::Sender<(Instant, Input)>, mut words: mpsc::Receiver<KeeperRequest>,
+/// Carries requests and responses until the sender of `requests` is dropped and all requests are written.
+pub async fn run_client(
+    address: SocketAddr, inputs: mpsc::Sender<(Instant, Input)>, mut requests: mpsc::Receiver<KeeperRequest>,
 ) {
-    let mut wait = WAIT.0;
+    let mut delay = MIN_RECONNECT_DELAY;
     loop {
-        let limit = Duration::from_secs_f64(WAIT.1);
-        let why = match timeout(limit, TcpStream::connect(address)).await {
-            Err(_) => "not connected in time".to_owned(),
+        let connect_timeout = Duration::from_secs_f64(MAX_RECONNECT_DELAY);
+        let why = match timeout(connect_timeout, TcpStream::connect(address)).await {
+            Err(_) => "connection attempt timed out".to_owned(),
             Ok(Err(e)) => e.to_string(),
             Ok(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 tracing::info!(%address, "connected to the keeper of seats");
-                let began = Instant::now();
-                let Some(why) = talk(stream, &inputs, &mut words).await else { return };
-                // One that breaks at once is not tried again at once.
-                if began.elapsed().as_secs_f64() > WAIT.1 {
-                    wait = WAIT.0;
+                let started = Instant::now();
+                let Some(why) = run_connection(stream, &inputs, &mut requests).await else { return };
+                // The delay is kept for a connection that breaks at once.
+                if started.elapsed().as_secs_f64() > MAX_RECONNECT_DELAY {
+                    delay = MIN_RECONNECT_DELAY;
                 }
                 why
             }
         };
-        tracing::warn!(%why, "no keeper of seats; going on with what is held and lent");
-        let until = tokio::time::Instant::now() + Duration::from_secs_f64(wait * (0.5 + fastrand::f64()));
-        wait = (wait * 2.0).min(WAIT.1);
+        tracing::warn!(%why, "no connection to the keeper of seats; continuing with held and leased seats");
+        let until = tokio::time::Instant::now() + Duration::from_secs_f64(delay * (0.5 + fastrand::f64()));
+        delay = (delay * 2.0).min(MAX_RECONNECT_DELAY);
         loop {
             tokio::select! {
                 () = tokio::time::sleep_until(until) => break,
-                word = words.recv() => if word.is_none() { return },
+                request = requests.recv() => if request.is_none() { return },
             }
         }
     }
 }
 
-/// One connection to its end; `None` when the desk's side is closed.
-async fn talk(
-    stream: TcpStream, inputs: &mpsc::Sender<(Instant, Input)>, words: &mut mpsc::Receiver<KeeperRequest>,
+/// Serves one connection and returns why it ended; `None` if the sender of `requests` is dropped.
+async fn run_connection(
+    stream: TcpStream, inputs: &mpsc::Sender<(Instant, Input)>, requests: &mut mpsc::Receiver<KeeperRequest>,
 ) -> Option<String> {
     let (read, mut write) = stream.into_split();
     let reader = async {
@@ -95,29 +102,29 @@
             match (&mut lines).take(MAX_LINE as u64).read_until(b'\n', &mut line).await {
                 Ok(0) => return "closed by the keeper".to_owned(),
                 Err(e) => return e.to_string(),
-                Ok(_) if !line.ends_with(b"\n") => return "a line too long or cut short".to_owned(),
+                Ok(_) if !line.ends_with(b"\n") => return "line too long or truncated".to_owned(),
                 Ok(_) => {}
             }
             match serde_json::from_slice::<KeeperServerMessage>(&line) {
-                Ok(KeeperServerMessage::Response(word)) => {
-                    // Where the desk has ended nobody hears it; what the desk still said is written below.
-                    let _ = inputs.send((Instant::now(), Input::Keeper(word))).await;
+                Ok(KeeperServerMessage::Response(response)) => {
+                    // If the core has ended, the response is dropped; the writer below still writes the last requests.
+                    let _ = inputs.send((Instant::now(), Input::Keeper(response))).await;
                 }
                 Ok(KeeperServerMessage::Error(why)) => return why,
                 Ok(KeeperServerMessage::Status { .. }) => {}
-                Err(e) => return format!("not a word of a keeper's: {e}"),
+                Err(e) => return format!("not a keeper message: {e}"),
             }
         }
     };
     let writer = async {
         let mut text = Vec::new();
-        while let Some(word) = words.recv().await {
+        while let Some(request) = requests.recv().await {
             text.clear();
-            let mut next = Some(word);
-            while let Some(word) = next.take() {
-                serde_json::to_writer(&mut text, &KeeperClientMessage::Request(word)).expect("plain data");
+            let mut next = Some(request);
+            while let Some(request) = next.take() {
+                serde_json::to_writer(&mut text, &KeeperClientMessage::Request(request)).expect("plain data");
                 text.push(b'\n');
-                next = words.try_recv().ok().filter(|_| text.len() < 1 << 16);
+                next = requests.try_recv().ok().filter(|_| text.len() < 1 << 16);
             }
             if let Err(e) = write.write_all(&text).await {
                 return Some(e.to_string());
@@ -132,8 +139,9 @@
         why = writer => why,
     };
     if why.is_none() {
-        // All is written; a keeper that closes in turn has read it too, and may be ended then without losing a seat.
-        let _ = timeout(LAST_READ, reader).await;
+        // Everything is written. When the keeper closes its side, it has read everything, and can be ended without losing a
+        // released seat.
+        let _ = timeout(CLOSE_TIMEOUT, reader).await;
     }
     why
 }
--- a/crates/kelpdoor-director/src/shell.rs
+++ b/crates/kelpdoor-director/src/shell.rs
@@ -161,9 +161,9 @@
     let mut words = None;
     let mut keeping = JoinSet::new();
     if let (Some(of), Some(verifier)) = (&book.keeper, &verifier) {
-        let (at, running) = keeper_client::find(of, &book.schools).await?;
+        let (at, running) = keeper_client::resolve_or_start(of, &book.schools).await?;
         let (to, from) = mpsc::channel(WORDS);
-        keeping.spawn(keeper_client::follow(at, inputs.clone(), from));
+        keeping.spawn(keeper_client::run_client(at, inputs.clone(), from));
         (keeper, words) = (running, Some(to));
         tasks.spawn(verifier.clone().follow_keys());
     }
@@ -179,7 +179,7 @@
         ask,
         socks: HashMap::new(),
         links: HashMap::new(),
-        agreed: agreed.map(|RulesFollower { ruling, steady, tasks: following, .. }| {
+        agreed: agreed.map(|RulesFollower { rules: ruling, clock: steady, tasks: following, .. }| {
             // Ended with the shell.
             tasks.spawn(async move {
                 let mut following = following;
@@ -686,14 +686,14 @@
     let token = match &mut message {
         FromPlayer::Start { group, token, .. } => {
             let token = token.take();
-            token.filter(|_| by.as_ref().is_some_and(|(verifier, _)| verifier.wanted(group)))
+            token.filter(|_| by.as_ref().is_some_and(|(verifier, _)| verifier.needs_token(group)))
         }
         FromPlayer::Renew { token, .. } => Some(std::mem::take(token)),
         _ => None,
     };
     match (token, by) {
         (Some(token), Some((verifier, gate))) => {
-            let shown = verifier.look(&token, gate);
+            let shown = verifier.verify(&token, gate);
             Input::Shown { sock, message, shown }
         }
         _ => Input::Player { sock, message },
@@ -718,7 +718,7 @@
     let started = Instant::now();
     let reader = async {
         let mut gate = Gate::new(book.players.messages_a_second, 0.0);
-        let mut tokens = verifier.map(TokenVerifier::socket_gate);
+        let mut tokens = verifier.map(TokenVerifier::socket_rate_limiter);
         loop {
             let message = match timeout(idle, stream.next()).await {
                 Err(_) => return Some((CloseCode::Policy, "nothing came for too long")),
--- a/crates/kelpdoor-director/src/token_verifier.rs
+++ b/crates/kelpdoor-director/src/token_verifier.rs
@@ -1,5 +1,6 @@
-//! Tokens as they come in on sockets: verified beside the desk, so that signatures cost it nothing, by a key set that
-//! is read again whenever its file changes. A bad file is said once and the last good set stands.
+//! Verifies entitlement tokens in the tasks of the players' sockets, so that checking signatures does not delay the
+//! director's core. The key set is read again whenever its file changes. An invalid file is logged once, and the last valid
+//! key set stays in use.
 
 use std::io;
 use std::path::Path;
@@ -13,33 +14,36 @@
 use crate::effect::Shown;
 use crate::gate::{Gate, Pass};
 
+/// Verifies tokens with the current key set, within rate limits.
 pub struct TokenVerifier {
-    book: Tokens,
+    settings: Tokens,
     rules: TokenRules,
     keys: RwLock<Arc<KeySet>>,
-    /// Of the whole director: a flood of tokens over many sockets must not take its cores.
-    gate: Mutex<Gate>,
-    from: Instant,
-    /// Groups that need a token; others' are not looked at.
+    /// Rate limit of the whole director, so that a flood of tokens over many sockets does not use up its cores.
+    rate_limiter: Mutex<Gate>,
+    started: Instant,
+    /// Service groups that need a token; tokens for other groups are not verified.
     groups: Vec<String>,
 }
 
-fn read(path: &Path) -> Result<(String, KeySet), String> {
+/// Reads a key set; returns its text and its keys.
+fn read_keys(path: &Path) -> Result<(String, KeySet), String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
     let keys = KeySet::parse(&text).map_err(|e| e.to_string())?;
     Ok((text, keys))
 }
 
 impl TokenVerifier {
-    /// With the key set read; `None` where no group needs tokens.
+    /// Reads the key set and creates a verifier; `None` if no group needs tokens.
     ///
     /// # Errors
-    /// Where the key set is none.
-    pub fn new(book: &Deployment) -> io::Result<Option<Arc<Self>>> {
-        let groups: Vec<String> = book.groups.iter().filter(|g| g.token).map(|g| g.name.clone()).collect();
-        let Some(tokens) = book.tokens.clone().filter(|_| !groups.is_empty()) else { return Ok(None) };
-        let fault = |e| io::Error::other(format!("key set {}: {e}", tokens.keys.display()));
-        let keys = read(&tokens.keys).map_err(fault)?.1;
+    /// If the key set cannot be read or is invalid.
+    pub fn new(deployment: &Deployment) -> io::Result<Option<Arc<Self>>> {
+        let groups: Vec<String> =
+            deployment.groups.iter().filter(|g| g.token).map(|g| g.name.clone()).collect();
+        let Some(tokens) = deployment.tokens.clone().filter(|_| !groups.is_empty()) else { return Ok(None) };
+        let error = |e| io::Error::other(format!("key set {}: {e}", tokens.keys.display()));
+        let keys = read_keys(&tokens.keys).map_err(error)?.1;
         let rules = TokenRules {
             audience: tokens.audience.clone(),
             clock_error: tokens.clock_error,
@@ -48,45 +52,46 @@
         Ok(Some(Arc::new(TokenVerifier {
             rules,
             keys: RwLock::new(Arc::new(keys)),
-            gate: Mutex::new(Gate::new(tokens.a_second, 0.0)),
-            from: Instant::now(),
+            rate_limiter: Mutex::new(Gate::new(tokens.a_second, 0.0)),
+            started: Instant::now(),
             groups,
-            book: tokens,
+            settings: tokens,
         })))
     }
 
-    pub fn wanted(&self, group: &str) -> bool {
+    /// Whether sessions of this service group need a token.
+    pub fn needs_token(&self, group: &str) -> bool {
         self.groups.iter().any(|g| g == group)
     }
 
-    /// The limit of one socket.
-    pub fn socket_gate(&self) -> Gate {
-        Gate::new(self.book.socket_a_second, self.from.elapsed().as_secs_f64())
+    /// Creates the rate limiter of one socket.
+    pub fn socket_rate_limiter(&self) -> Gate {
+        Gate::new(self.settings.socket_a_second, self.started.elapsed().as_secs_f64())
     }
 
-    /// Verifies a token, within the limits of its socket and of the director.
-    pub fn look(&self, token: &str, socket: &mut Gate) -> Shown {
-        let at = self.from.elapsed().as_secs_f64();
-        let mut all = self.gate.lock().unwrap_or_else(PoisonError::into_inner);
-        if socket.pass(at) != Pass::Taken || all.pass(at) != Pass::Taken {
+    /// Verifies a token, within the rate limits of its socket and of the director.
+    pub fn verify(&self, token: &str, socket: &mut Gate) -> Shown {
+        let at = self.started.elapsed().as_secs_f64();
+        let mut director = self.rate_limiter.lock().unwrap_or_else(PoisonError::into_inner);
+        if socket.pass(at) != Pass::Taken || director.pass(at) != Pass::Taken {
             return Shown::TooFast;
         }
-        drop(all);
+        drop(director);
         let keys = self.keys.read().unwrap_or_else(PoisonError::into_inner).clone();
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64());
         match verify(token, &keys, &self.rules, now) {
-            Ok(e) => Shown::Good(Box::new(e)),
+            Ok(entitlement) => Shown::Good(Box::new(entitlement)),
             Err(why) => Shown::Bad(why.to_string()),
         }
     }
 
-    /// Looks at the key set's file for as long as the director runs.
+    /// Reads the key set's file again at the configured interval, forever.
     pub async fn follow_keys(self: Arc<Self>) {
         let mut last = Err(String::new());
         loop {
-            let path = self.book.keys.clone();
-            let found = tokio::task::spawn_blocking(move || read(&path)).await;
-            let (text, keys) = match found.unwrap_or_else(|e| Err(e.to_string())) {
+            let path = self.settings.keys.clone();
+            let read = tokio::task::spawn_blocking(move || read_keys(&path)).await;
+            let (text, keys) = match read.unwrap_or_else(|e| Err(e.to_string())) {
                 Ok((text, keys)) => (Ok(text), Some(keys)),
                 Err(why) => (Err(why), None),
             };
@@ -94,17 +99,17 @@
                 match (&text, keys) {
                     (_, Some(keys)) => {
                         let ids: Vec<&str> = keys.ids().collect();
-                        tracing::info!(?ids, "tokens are verified by these keys");
+                        tracing::info!(?ids, "verifying tokens with new keys");
                         *self.keys.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(keys);
                     }
                     (Err(why), None) => {
-                        tracing::error!(%why, "the key set is not taken; the last good one stands")
+                        tracing::error!(%why, "cannot use the key set; keeping the last valid one")
                     }
                     (Ok(_), None) => {}
                 }
                 last = text;
             }
-            sleep(Duration::from_secs_f64(self.book.reread)).await;
+            sleep(Duration::from_secs_f64(self.settings.reread)).await;
         }
     }
 }
