--- a/crates/kelpdoor-director/src/shell.rs
+++ b/crates/kelpdoor-director/src/shell.rs
@@ -1,5 +1,5 @@
-//! The shell: sockets, timers and files round a [`Desk`]. It decides nothing: it stamps what comes in, calls the
-//! desk once a batch, and carries out what the desk says.
+//! The I/O of a director: sockets, timers and files around a [`Desk`]. It makes no decisions: it timestamps inputs, calls
+//! the core once per batch, and carries out the effects that the core returns.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -39,92 +39,99 @@
 use crate::store::{load_list, save_list};
 use crate::token_verifier::TokenVerifier;
 
-/// Inputs waiting for the desk at most; readers wait beyond it, and so do their peers.
-const INPUTS: usize = 8192;
-/// Inputs taken into one round at most.
-const BATCH: usize = 4096;
-/// Of a round's own time; the next one waits so long, so that a desk under load takes more in at once.
-const REST: u32 = 3;
-/// A shorter rest is not worth a timer; a longer one would be felt by players.
-const REST_RANGE: (Duration, Duration) = (Duration::from_micros(700), Duration::from_millis(5));
-/// How often what is held is counted for whoever asks.
-const TOLD: Duration = Duration::from_millis(200);
-/// A handshake takes no longer.
-const HANDSHAKE: Duration = Duration::from_secs(5);
-/// Sockets get so long to take their last words at the end.
-const LAST_WORDS: Duration = Duration::from_secs(1);
-/// Connections over the limit that are told so at a time; more are cut without a word.
-const REFUSALS: usize = 64;
-/// Messages read and dropped after a close frame at most.
-const MOST_DRAINED: usize = 10_000;
-/// Words to the keeper of seats waiting at most; more are dropped, and said again by the desk.
-const WORDS: usize = 8192;
-/// Wait before the roster is connected again, at first and at most.
-const ROSTER_WAIT: (f64, f64) = (0.1, 5.0);
+/// Maximum number of inputs queued for the core; beyond it, sockets are not read, which slows down the peers.
+const MAX_QUEUED_INPUTS: usize = 8192;
+/// Maximum number of queued inputs handled in one round.
+const MAX_BATCH: usize = 4096;
+/// Pause between rounds, as a multiple of the duration of the last round: a core under load handles larger batches.
+const ROUND_PAUSE_FACTOR: u32 = 3;
+/// Shortest pause between rounds; a shorter one is not worth a timer.
+const MIN_ROUND_PAUSE: Duration = Duration::from_micros(700);
+/// Longest pause between rounds; a longer one would be a noticeable delay for players.
+const MAX_ROUND_PAUSE: Duration = Duration::from_millis(5);
+/// Shortest interval between two updates of the published counts.
+const COUNTS_INTERVAL: Duration = Duration::from_millis(200);
+/// Time limit for the WebSocket handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit for each step of closing connections and of shutting down.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of connections over the limit that get a refusal at the same time; further ones are closed without a
+/// response.
+const MAX_REFUSALS: usize = 64;
+/// Maximum number of messages read and dropped after a close frame.
+const MAX_DRAINED_MESSAGES: usize = 10_000;
+/// Maximum number of requests queued for the keeper of seats; further ones are dropped, and the core repeats them.
+const MAX_QUEUED_KEEPER_REQUESTS: usize = 8192;
+/// First delay before the roster is connected again, in seconds; doubled with each attempt.
+const MIN_ROSTER_RECONNECT_DELAY: f64 = 0.1;
+/// Longest delay before the roster is connected again, in seconds.
+const MAX_ROSTER_RECONNECT_DELAY: f64 = 5.0;
 
 /// How a director is started.
 pub struct ServeOptions {
     pub deployment: Deployment,
-    /// Where rules are agreed: the deployment is what [`RulesFollower::start`] gave with it.
+    /// If the rules are agreed: their follower. `deployment` is then the one that [`RulesFollower::start`] returned.
     pub agreed: Option<RulesFollower>,
-    /// Where all inputs and effects are written, for a replay.
+    /// File to which all inputs and effects are written, for a replay.
     pub journal: Option<PathBuf>,
 }
 
-/// What came in, and when it was read whole.
-type Came = (Instant, Input);
+/// An input, and when it was received completely.
+type TimedInput = (Instant, Input);
 
-/// A director at work.
+/// A running director.
 pub struct Running {
     pub address: SocketAddr,
-    inputs: mpsc::Sender<Came>,
+    inputs: mpsc::Sender<TimedInput>,
     counts: watch::Receiver<Counts>,
     task: JoinHandle<()>,
 }
 
 impl Running {
-    /// Takes no new sessions from now on; [`ended`](Self::ended) comes when all taken ones are answered.
+    /// Accepts no new sessions from now on; [`ended`](Self::ended) returns when all accepted ones are answered.
     pub async fn shut_down(&self) {
         let _ = self.inputs.send((Instant::now(), Input::ShutDown)).await;
     }
 
+    /// The latest published counts.
     pub fn counts(&self) -> Counts {
         *self.counts.borrow()
     }
 
-    /// Waits for the end.
+    /// Waits until the director ends.
     ///
     /// # Errors
-    /// Where the director did not end by itself: a panic in it, or [`abort`](Self::abort).
+    /// If the director did not end by itself: after a panic or [`abort`](Self::abort).
     pub async fn ended(&mut self) -> Result<(), String> {
         (&mut self.task).await.map_err(|e| e.to_string())
     }
 
-    /// Ends at once; what is owed stays owed.
+    /// Ends at once; pending requests and TEARDOWNs are not completed.
     pub fn abort(&self) {
         self.task.abort();
     }
 }
 
-/// Bytes for a node; what may leave only under a lease has its end, and its name.
+/// Bytes to send to a node.
 struct ToNode {
     bytes: Vec<u8>,
+    /// For bytes that may be sent only under a lease: the end of the lease, and the name of the request.
     leased: Option<(f64, u64)>,
 }
 
-/// A queue to a socket with a bound in bytes.
+/// A queue to a socket, bounded in bytes.
 struct Outbox<T> {
     to: mpsc::UnboundedSender<T>,
     queued: Arc<AtomicUsize>,
-    /// Dropped, it ends the socket's task at once.
-    hold: Option<oneshot::Sender<()>>,
+    /// Dropping it ends the socket's task at once.
+    close_on_drop: Option<oneshot::Sender<()>>,
 }
 
 impl<T> Outbox<T> {
-    /// Whether it fits.
-    fn put(&self, item: T, bytes: usize, most: usize) -> bool {
+    /// Queues an item of `bytes` bytes; returns false if the queue would exceed `max_bytes` or is closed.
+    fn put(&self, item: T, bytes: usize, max_bytes: usize) -> bool {
         let before = self.queued.fetch_add(bytes, Ordering::Relaxed);
-        before + bytes <= most && self.to.send(item).is_ok()
+        before + bytes <= max_bytes && self.to.send(item).is_ok()
     }
 }
 
@@ -133,102 +140,106 @@
     Close(CloseCode, &'static str),
 }
 
-enum ToSocks {
+enum SocketEvent {
     Opened(u64, Outbox<Out>),
-    Lost(u64),
+    Closed(u64),
 }
 
-/// Binds, starts all tasks, and returns the address.
+/// Binds the address and starts all tasks of a director.
 ///
 /// # Errors
-/// Where the address cannot be bound or the journal not be written.
+/// If the address cannot be bound, the journal cannot be created, the key set cannot be read, or the keeper of seats cannot
+/// be started.
 pub async fn serve(options: ServeOptions) -> io::Result<Running> {
-    let book = Arc::new(options.deployment);
+    let deployment = Arc::new(options.deployment);
     let agreed = options.agreed;
-    let verifier = TokenVerifier::new(&book)?;
-    let listener = TcpListener::bind(book.director.listen).await?;
+    let verifier = TokenVerifier::new(&deployment)?;
+    let listener = TcpListener::bind(deployment.director.listen).await?;
     let address = listener.local_addr()?;
-    let seed = book.director.seed.unwrap_or_else(|| fastrand::u64(..));
+    let seed = deployment.director.seed.unwrap_or_else(|| fastrand::u64(..));
     let journal = options.journal.map(File::create).transpose()?.map(BufWriter::new);
-    let (inputs, input) = mpsc::channel(INPUTS);
-    let (socks, sock) = mpsc::unbounded_channel();
-    let (ask, asked) = mpsc::unbounded_channel();
-    let (tell, counts) = watch::channel(Counts::default());
+    let (inputs, input_queue) = mpsc::channel(MAX_QUEUED_INPUTS);
+    let (socket_events, socket_queue) = mpsc::unbounded_channel();
+    let (roster_requests, roster_queue) = mpsc::unbounded_channel();
+    let (publish_counts, counts) = watch::channel(Counts::default());
     let mut tasks = JoinSet::new();
-    let (save, saved) = watch::channel(None);
-    let saver = tokio::spawn(keep_list(book.roster.cache.clone(), saved));
+    let (save_list, latest_list) = watch::channel(None);
+    let save_task = tokio::spawn(save_lists(deployment.roster.cache.clone(), latest_list));
     let mut keeper = None;
-    let mut words = None;
-    let mut keeping = JoinSet::new();
-    if let (Some(of), Some(verifier)) = (&book.keeper, &verifier) {
-        let (at, running) = keeper_client::resolve_or_start(of, &book.schools).await?;
-        let (to, from) = mpsc::channel(WORDS);
-        keeping.spawn(keeper_client::run_client(at, inputs.clone(), from));
-        (keeper, words) = (running, Some(to));
+    let mut keeper_requests = None;
+    let mut keeper_client_task = JoinSet::new();
+    if let (Some(settings), Some(verifier)) = (&deployment.keeper, &verifier) {
+        let (address, running) = keeper_client::resolve_or_start(settings, &deployment.schools).await?;
+        let (requests, queue) = mpsc::channel(MAX_QUEUED_KEEPER_REQUESTS);
+        keeper_client_task.spawn(keeper_client::run_client(address, inputs.clone(), queue));
+        (keeper, keeper_requests) = (running, Some(requests));
         tasks.spawn(verifier.clone().follow_keys());
     }
-    tasks.spawn(accept(listener, book.clone(), inputs.clone(), socks, verifier));
-    tasks.spawn(follow(book.clone(), inputs.clone(), asked));
+    tasks.spawn(accept(listener, deployment.clone(), inputs.clone(), socket_events, verifier));
+    tasks.spawn(follow_roster(deployment.clone(), inputs.clone(), roster_queue));
     let shell = Shell {
-        book: book.clone(),
+        deployment: deployment.clone(),
         clock: agreed
             .as_ref()
             .and_then(|a| a.wall_off.clone())
             .map_or_else(SlewedClock::default, SlewedClock::with_offset_file),
         inputs: inputs.clone(),
-        ask,
-        socks: HashMap::new(),
+        roster_requests,
+        sockets: HashMap::new(),
         links: HashMap::new(),
-        agreed: agreed.map(|RulesFollower { rules: ruling, clock: steady, tasks: following, .. }| {
-            // Ended with the shell.
+        agreed: agreed.map(|RulesFollower { rules, clock, tasks: follower_tasks, .. }| {
+            // Moved into a task of the shell, so that they are aborted with it.
             tasks.spawn(async move {
-                let mut following = following;
-                while following.join_next().await.is_some() {}
+                let mut follower_tasks = follower_tasks;
+                while follower_tasks.join_next().await.is_some() {}
             });
-            Agreed { ruling, steady, label: String::new(), lease: f64::NEG_INFINITY, told: f64::NAN }
+            AgreedRules { rules, clock, label: String::new(), lease: f64::NEG_INFINITY, core_lease: f64::NAN }
         }),
         journal,
-        tell,
-        save,
-        saver,
+        publish_counts,
+        save_list,
+        save_task,
         keeper,
-        words,
-        keeping,
+        keeper_requests,
+        keeper_client_task,
         tasks,
     };
-    let task = tokio::spawn(shell.run(input, sock, seed));
+    let task = tokio::spawn(shell.run(input_queue, socket_queue, seed));
     Ok(Running { address, inputs, counts, task })
 }
 
-/// Rules that others have too: what may be acted on, and what the desk was told of it.
-struct Agreed {
-    ruling: watch::Receiver<RulesInForce>,
-    steady: BootClock,
+/// The agreed rules that may be acted on, and the state that was passed to the core.
+struct AgreedRules {
+    rules: watch::Receiver<RulesInForce>,
+    clock: BootClock,
+    /// Label of the rules that the core has.
     label: String,
-    /// Steady time, until when something new may leave.
+    /// Boot clock time until which new requests may be sent, in seconds.
     lease: f64,
-    /// The same as the desk was told it, on its own clock.
-    told: f64,
+    /// The end of the lease that the core has, on the core's clock; NaN before the first.
+    core_lease: f64,
 }
 
 struct Shell {
-    book: Arc<Deployment>,
+    deployment: Arc<Deployment>,
     clock: SlewedClock,
-    inputs: mpsc::Sender<Came>,
-    ask: mpsc::UnboundedSender<ToRoster>,
-    socks: HashMap<u64, Outbox<Out>>,
+    inputs: mpsc::Sender<TimedInput>,
+    roster_requests: mpsc::UnboundedSender<ToRoster>,
+    /// Queues to players' sockets, by socket.
+    sockets: HashMap<u64, Outbox<Out>>,
+    /// Queues to nodes, by node and connection.
     links: HashMap<(u32, u64), Outbox<ToNode>>,
-    agreed: Option<Agreed>,
+    agreed: Option<AgreedRules>,
     journal: Option<BufWriter<File>>,
-    tell: watch::Sender<Counts>,
-    /// The list to be kept: the latest, if one is being written when another comes.
-    save: watch::Sender<Option<Box<RosterList>>>,
-    saver: JoinHandle<()>,
-    /// The keeper of seats, if it runs here; words to it, and what carries them.
+    publish_counts: watch::Sender<Counts>,
+    /// The list to save. Only the latest is saved if several arrive during one write.
+    save_list: watch::Sender<Option<Box<RosterList>>>,
+    save_task: JoinHandle<()>,
+    /// The keeper of seats, if it runs in this process.
     keeper: Option<RunningKeeper>,
-    words: Option<mpsc::Sender<KeeperRequest>>,
-    keeping: JoinSet<()>,
-    /// Ended with the shell.
+    keeper_requests: Option<mpsc::Sender<KeeperRequest>>,
+    keeper_client_task: JoinSet<()>,
+    /// Aborted when the shell is dropped.
     tasks: JoinSet<()>,
 }
 
@@ -236,185 +247,191 @@
     fn now(&mut self) -> f64 {
         let (now, stepped) = self.clock.now();
         if let Some(by) = stepped {
-            tracing::warn!(by, "the wall clock was stepped; our time goes on and is slewed towards it");
+            tracing::warn!(by, "the wall clock was stepped; internal time is slewed towards it");
         }
         now
     }
 
-    fn keep(&mut self, line: &journal::Line) {
+    fn write_journal(&mut self, entry: &journal::Line) {
         if let Some(to) = &mut self.journal
-            && let Err(e) = journal::write(to, line)
+            && let Err(e) = journal::write(to, entry)
         {
-            tracing::error!(%e, "the journal cannot be written and ends here");
+            tracing::error!(%e, "cannot write the journal; journaling stops");
             self.journal = None;
         }
     }
 
-    fn take(&mut self, desk: &mut Desk, now: f64, (came, input): Came) {
-        let waited = came.elapsed().as_secs_f64();
+    fn handle_input(&mut self, core: &mut Desk, now: f64, (received_at, input): TimedInput) {
+        let waited = received_at.elapsed().as_secs_f64();
         if self.journal.is_some() {
-            self.keep(&journal::Line::Took { now, waited, input: input.clone() });
+            self.write_journal(&journal::Line::Took { now, waited, input: input.clone() });
         }
         if let Input::Node { node, link, word: NodeWord::Lost | NodeWord::Unreached } = &input {
             self.links.remove(&(*node, *link));
         }
-        desk.take_late(now, waited, input);
+        core.take_late(now, waited, input);
     }
 
     async fn run(
-        mut self, mut input: mpsc::Receiver<Came>, mut sock: mpsc::UnboundedReceiver<ToSocks>, seed: u64,
+        mut self, mut input_queue: mpsc::Receiver<TimedInput>,
+        mut socket_queue: mpsc::UnboundedReceiver<SocketEvent>, seed: u64,
     ) {
         let now = self.now();
-        let mut desk = Desk::new(&self.book, seed, now);
-        let whole = self.agreed.is_some().then(|| Box::new(Deployment::clone(&self.book)));
-        self.keep(&journal::Line::Start { seed, now, book: whole });
-        if let Some(path) = &self.book.roster.cache {
+        let mut core = Desk::new(&self.deployment, seed, now);
+        let deployment = self.agreed.is_some().then(|| Box::new(Deployment::clone(&self.deployment)));
+        self.write_journal(&journal::Line::Start { seed, now, book: deployment });
+        if let Some(path) = &self.deployment.roster.cache {
             match load_list(path) {
                 Ok(Some(list)) => {
-                    tracing::info!(nodes = list.nodes.len(), "starting from the kept list");
-                    self.take(&mut desk, now, (Instant::now(), Input::Cached(list)));
+                    tracing::info!(nodes = list.nodes.len(), "starting from the saved list");
+                    self.handle_input(&mut core, now, (Instant::now(), Input::Cached(list)));
                 }
                 Ok(None) => {}
-                Err(e) => tracing::warn!(%e, "the kept list is not used"),
+                Err(e) => tracing::warn!(%e, "ignoring the saved list"),
             }
         }
-        let mut last = Instant::now();
-        let mut cost = Duration::ZERO;
-        let mut told = Instant::now();
+        let mut last_round_at = Instant::now();
+        let mut round_duration = Duration::ZERO;
+        let mut last_counts_at = Instant::now();
         loop {
-            let wait = (desk.wake_at() - self.now()).clamp(0.0, 3600.0);
-            let due = tokio::time::Instant::now() + Duration::from_secs_f64(wait);
+            let wait = (core.wake_at() - self.now()).clamp(0.0, 3600.0);
+            let next_timer_at = tokio::time::Instant::now() + Duration::from_secs_f64(wait);
             let first = tokio::select! {
                 biased;
-                Some(news) = sock.recv() => {
-                    self.socket(news);
+                Some(event) = socket_queue.recv() => {
+                    self.handle_socket_event(event);
                     continue;
                 }
-                Some(first) = input.recv() => Some(first),
-                () = changed(&mut self.agreed) => None,
-                () = sleep_until(due) => None,
+                Some(first) = input_queue.recv() => Some(first),
+                () = rules_changed(&mut self.agreed) => None,
+                () = sleep_until(next_timer_at) => None,
             };
-            let gap = last.elapsed();
+            let gap = last_round_at.elapsed();
             if was_paused(gap, Duration::from_secs_f64(wait)) {
-                tracing::warn!(seconds = gap.as_secs_f64(), "stood still; reading what came meanwhile first");
+                tracing::warn!(
+                    seconds = gap.as_secs_f64(),
+                    "the process was paused; reading pending input first"
+                );
                 sleep(CATCH_UP_TIME).await;
             } else if first.is_some() {
-                let rest = (cost * REST).min(REST_RANGE.1).saturating_sub(gap);
-                if rest > REST_RANGE.0 {
-                    sleep(rest).await;
+                let pause = (round_duration * ROUND_PAUSE_FACTOR).min(MAX_ROUND_PAUSE).saturating_sub(gap);
+                if pause > MIN_ROUND_PAUSE {
+                    sleep(pause).await;
                 }
             }
-            while let Ok(news) = sock.try_recv() {
-                self.socket(news);
+            while let Ok(event) = socket_queue.try_recv() {
+                self.handle_socket_event(event);
             }
-            let began = Instant::now();
+            let started = Instant::now();
             let now = self.now();
-            self.rules(&mut desk, now);
+            self.update_rules(&mut core, now);
             if let Some(first) = first {
-                self.take(&mut desk, now, first);
+                self.handle_input(&mut core, now, first);
             }
-            for _ in 0..BATCH {
-                let Ok(next) = input.try_recv() else { break };
-                self.take(&mut desk, now, next);
+            for _ in 0..MAX_BATCH {
+                let Ok(next) = input_queue.try_recv() else { break };
+                self.handle_input(&mut core, now, next);
             }
             let mut effects = Vec::new();
-            desk.round(now, &mut |e| effects.push(e));
-            last = Instant::now();
+            core.round(now, &mut |e| effects.push(e));
+            last_round_at = Instant::now();
             if self.journal.is_some() {
-                self.keep(&journal::Line::Round { now, effects: effects.clone() });
+                self.write_journal(&journal::Line::Round { now, effects: effects.clone() });
             }
             if self.carry_out(effects) {
-                // What was read before this moment is answered too.
+                // Inputs that were received before the shutdown are answered too.
                 let now = self.now();
-                self.rules(&mut desk, now);
-                while let Ok(next) = input.try_recv() {
-                    self.take(&mut desk, now, next);
+                self.update_rules(&mut core, now);
+                while let Ok(next) = input_queue.try_recv() {
+                    self.handle_input(&mut core, now, next);
                 }
                 let mut effects = Vec::new();
-                desk.round(now, &mut |e| effects.push(e));
+                core.round(now, &mut |e| effects.push(e));
                 self.carry_out(effects);
                 break;
             }
-            cost = began.elapsed();
-            if told.elapsed() > TOLD {
-                told = last;
-                let _ = self.tell.send(desk.counts());
+            round_duration = started.elapsed();
+            if last_counts_at.elapsed() > COUNTS_INTERVAL {
+                last_counts_at = last_round_at;
+                let _ = self.publish_counts.send(core.counts());
             }
         }
         if let Some(mut to) = self.journal.take() {
             let _ = to.flush();
         }
-        self.last_words(input, sock).await;
+        self.close_connections(input_queue, socket_queue).await;
     }
 
-    /// Tells the desk what it may act on now: looked at before each round, for we may have stood still.
-    fn rules(&mut self, desk: &mut Desk, now: f64) {
-        /// s; a lease's end is told again when it moved by more.
-        const FINE: f64 = 1e-3;
+    /// Passes the rules and the lease in force to the core. Called before each round, because the process may have been
+    /// paused.
+    fn update_rules(&mut self, core: &mut Desk, now: f64) {
+        /// Smallest change of a lease's end that is passed to the core, in seconds.
+        const MIN_LEASE_CHANGE: f64 = 1e-3;
         let Some(agreed) = &mut self.agreed else { return };
-        let ruling = agreed.ruling.borrow_and_update().clone();
-        let steady = agreed.steady.now();
-        agreed.lease = ruling.lease(steady);
-        let until = now + (agreed.lease - steady);
-        let label = (agreed.label != ruling.label).then(|| ruling.label.clone());
-        let moved = agreed.told.is_nan() || (until != agreed.told && (until - agreed.told).abs() > FINE);
+        let rules = agreed.rules.borrow_and_update().clone();
+        let boot_time = agreed.clock.now();
+        agreed.lease = rules.lease(boot_time);
+        let until = now + (agreed.lease - boot_time);
+        let label = (agreed.label != rules.label).then(|| rules.label.clone());
+        let lease_changed = agreed.core_lease.is_nan()
+            || (until != agreed.core_lease && (until - agreed.core_lease).abs() > MIN_LEASE_CHANGE);
         if let Some(label) = &label {
             agreed.label.clone_from(label);
         }
-        if moved {
-            agreed.told = until;
+        if lease_changed {
+            agreed.core_lease = until;
         }
         if let Some(label) = label {
-            let book = Box::new(Deployment::clone(&ruling.settings));
-            self.take(desk, now, (Instant::now(), Input::Rules { book, label }));
+            let book = Box::new(Deployment::clone(&rules.settings));
+            self.handle_input(core, now, (Instant::now(), Input::Rules { book, label }));
         }
-        if moved {
-            // Where nothing may be begun, in the desk's own past: its journal knows no endless numbers.
+        if lease_changed {
+            // Without a lease: a time in the past of the core, because the journal cannot represent infinity.
             let until = if until.is_finite() { until } else { 0.0 };
-            self.take(desk, now, (Instant::now(), Input::Lease { until }));
+            self.handle_input(core, now, (Instant::now(), Input::Lease { until }));
         }
     }
 
-    fn socket(&mut self, news: ToSocks) {
-        match news {
-            ToSocks::Opened(sock, outbox) => {
-                self.socks.insert(sock, outbox);
+    fn handle_socket_event(&mut self, event: SocketEvent) {
+        match event {
+            SocketEvent::Opened(sock, outbox) => {
+                self.sockets.insert(sock, outbox);
             }
-            ToSocks::Lost(sock) => {
-                self.socks.remove(&sock);
+            SocketEvent::Closed(sock) => {
+                self.sockets.remove(&sock);
             }
         }
     }
 
-    /// Whether the desk is done.
+    /// Carries out effects; returns whether the core has finished shutting down.
     fn carry_out(&mut self, effects: Vec<Effect>) -> bool {
         let mut done = false;
         for effect in effects {
             match effect {
-                Effect::Player { sock, sess, message } => self.tell_player(sock, sess, &message),
+                Effect::Player { sock, sess, message } => self.send_to_player(sock, sess, &message),
                 Effect::Dial { node, link, address } => self.dial(node, link, address),
                 Effect::Node { node, link, bytes } => {
-                    self.tell_node(node, link, ToNode { bytes, leased: None });
+                    self.send_to_node(node, link, ToNode { bytes, leased: None });
                 }
                 Effect::Leased { node, link, name, bytes } => {
                     let until = self.agreed.as_ref().map_or(f64::INFINITY, |a| a.lease);
-                    self.tell_node(node, link, ToNode { bytes, leased: Some((until, name)) });
+                    self.send_to_node(node, link, ToNode { bytes, leased: Some((until, name)) });
                 }
                 Effect::HangUp { node, link } => self.hang_up(node, link),
-                Effect::AskRoster(ask) => {
-                    let _ = self.ask.send(ask);
+                Effect::AskRoster(request) => {
+                    let _ = self.roster_requests.send(request);
                 }
-                Effect::Keeper(word) => {
-                    if let Some(to) = &self.words {
-                        let _ = to.try_send(word);
+                Effect::Keeper(request) => {
+                    if let Some(to) = &self.keeper_requests {
+                        let _ = to.try_send(request);
                     }
                 }
                 Effect::SaveList(list) => {
-                    self.save.send_replace(Some(list));
+                    self.save_list.send_replace(Some(list));
                 }
                 Effect::Note { sess: Some(sess), text } => tracing::debug!(sess, "{text}"),
                 Effect::Note { sess: None, text } => tracing::info!("{text}"),
-                Effect::Fault(why) => tracing::error!(%why, "the decisions report a fault"),
+                Effect::Fault(why) => tracing::error!(%why, "the core reports an error"),
                 Effect::Done => done = true,
             }
         }
@@ -422,30 +439,30 @@
         done
     }
 
-    fn tell_node(&mut self, node: u32, link: u64, what: ToNode) {
-        let most = self.book.node_links.queued_bytes;
-        let len = what.bytes.len();
-        if self.links.get(&(node, link)).is_some_and(|l| !l.put(what, len, most)) {
+    fn send_to_node(&mut self, node: u32, link: u64, message: ToNode) {
+        let max_bytes = self.deployment.node_links.queued_bytes;
+        let len = message.bytes.len();
+        if self.links.get(&(node, link)).is_some_and(|l| !l.put(message, len, max_bytes)) {
             tracing::warn!(node, "the node does not read; closing its link");
             self.hang_up(node, link);
-            self.say_lost(node, link);
+            self.queue_link_lost(node, link);
         }
     }
 
-    fn tell_player(&mut self, sock: u64, sess: Option<u64>, message: &ToPlayer) {
+    fn send_to_player(&mut self, sock: u64, sess: Option<u64>, message: &ToPlayer) {
         tracing::debug!(sock, sess, key = message.key().map(|k| k.0.as_str()), ?message, "to the player");
         let text = message.text();
         let len = text.len();
-        let most = self.book.players.queued_bytes;
-        if self.socks.get(&sock).is_some_and(|s| !s.put(Out::Text(text), len, most)) {
+        let max_bytes = self.deployment.players.queued_bytes;
+        if self.sockets.get(&sock).is_some_and(|s| !s.put(Out::Text(text), len, max_bytes)) {
             tracing::info!(sock, "the player does not read; closing its socket");
-            self.socks.remove(&sock);
-            self.say(Input::SocketLost { sock });
+            self.sockets.remove(&sock);
+            self.queue_input(Input::SocketLost { sock });
         }
     }
 
-    /// Puts an input of our own in line, whatever the bound.
-    fn say(&mut self, input: Input) {
+    /// Queues an input that the shell itself creates, even if the queue is full.
+    fn queue_input(&mut self, input: Input) {
         if let Err(mpsc::error::TrySendError::Full(input)) = self.inputs.try_send((Instant::now(), input)) {
             let to = self.inputs.clone();
             self.tasks.spawn(async move {
@@ -454,105 +471,109 @@
         }
     }
 
-    fn say_lost(&mut self, node: u32, link: u64) {
-        self.say(Input::Node { node, link, word: NodeWord::Lost });
+    fn queue_link_lost(&mut self, node: u32, link: u64) {
+        self.queue_input(Input::Node { node, link, word: NodeWord::Lost });
     }
 
     fn dial(&mut self, node: u32, link: u64, address: SocketAddr) {
         let (to, from) = mpsc::unbounded_channel();
         let queued = Arc::new(AtomicUsize::new(0));
-        let (hold, held) = oneshot::channel();
-        let steady = self.agreed.as_ref().map(|a| a.steady);
-        let talk = talk(node, link, address, from, queued.clone(), self.inputs.clone(), steady);
+        let (close_on_drop, closed) = oneshot::channel();
+        let clock = self.agreed.as_ref().map(|a| a.clock);
+        let connection =
+            serve_node_link(node, link, address, from, queued.clone(), self.inputs.clone(), clock);
         self.tasks.spawn(async move {
             tokio::select! {
-                () = talk => {}
-                _ = held => {}
+                () = connection => {}
+                _ = closed => {}
             }
         });
-        self.links.insert((node, link), Outbox { to, queued, hold: Some(hold) });
+        self.links.insert((node, link), Outbox { to, queued, close_on_drop: Some(close_on_drop) });
     }
 
     fn hang_up(&mut self, node: u32, link: u64) {
         self.links.remove(&(node, link));
     }
 
-    /// Lets sockets take what is queued, a close frame behind it, and links likewise.
-    async fn last_words(
-        mut self, mut input: mpsc::Receiver<Came>, mut sock: mpsc::UnboundedReceiver<ToSocks>,
+    /// Sends queued messages and a close frame to the players, and queued messages to the nodes; then ends the other tasks.
+    async fn close_connections(
+        mut self, mut input_queue: mpsc::Receiver<TimedInput>,
+        mut socket_queue: mpsc::UnboundedReceiver<SocketEvent>,
     ) {
-        // The saver ends when it has written the latest.
-        drop(self.save);
-        drop(self.words);
-        let mut open = self.socks.len() + self.links.len();
-        for sock in self.socks.values() {
-            let _ = sock.to.send(Out::Close(CloseCode::Away, "shutting down"));
+        // The save task ends when it has written the latest list.
+        drop(self.save_list);
+        drop(self.keeper_requests);
+        let mut open = self.sockets.len() + self.links.len();
+        for socket in self.sockets.values() {
+            let _ = socket.to.send(Out::Close(CloseCode::Away, "shutting down"));
         }
-        // A link's writer ends when nothing can be queued any more.
-        let _holds: Vec<_> = self.links.drain().map(|(_, link)| link.hold).collect();
-        let ends = async {
+        // A link's writer ends when its queue is empty and closed. Keeping these senders lets it write the queue first.
+        let _close_senders: Vec<_> = self.links.drain().map(|(_, link)| link.close_on_drop).collect();
+        let all_closed = async {
             while open > 0 {
                 tokio::select! {
-                    Some(news) = sock.recv() => open -= usize::from(matches!(news, ToSocks::Lost(_))),
-                    Some((_, news)) = input.recv() => {
-                        open -= usize::from(matches!(news, Input::Node { word: NodeWord::Lost, .. }));
+                    Some(event) = socket_queue.recv() => {
+                        open -= usize::from(matches!(event, SocketEvent::Closed(_)))
+                    }
+                    Some((_, input)) = input_queue.recv() => {
+                        open -= usize::from(matches!(input, Input::Node { word: NodeWord::Lost, .. }));
                     }
                     else => return,
                 }
             }
         };
-        let _ = timeout(LAST_WORDS, ends).await;
-        let _ = timeout(LAST_WORDS, self.saver).await;
-        // Seats that went back are said so before the end.
-        let _ = timeout(LAST_WORDS, self.keeping.join_next()).await;
+        let _ = timeout(CLOSE_TIMEOUT, all_closed).await;
+        let _ = timeout(CLOSE_TIMEOUT, self.save_task).await;
+        // Releases of seats are sent before the end.
+        let _ = timeout(CLOSE_TIMEOUT, self.keeper_client_task.join_next()).await;
         if let Some(mut keeper) = self.keeper {
             keeper.shut_down().await;
-            let _ = timeout(LAST_WORDS, keeper.ended()).await;
+            let _ = timeout(CLOSE_TIMEOUT, keeper.ended()).await;
         }
     }
 }
 
-/// Comes when what may be acted on has changed; never where nothing is agreed.
-async fn changed(agreed: &mut Option<Agreed>) {
+/// Waits until the agreed rules change; forever if no rules are agreed.
+async fn rules_changed(agreed: &mut Option<AgreedRules>) {
     if let Some(a) = agreed
-        && a.ruling.changed().await.is_ok()
+        && a.rules.changed().await.is_ok()
     {
         return;
     }
     std::future::pending().await
 }
 
-/// Keeps the latest list on disk, one write at a time.
-async fn keep_list(path: Option<PathBuf>, mut list: watch::Receiver<Option<Box<RosterList>>>) {
+/// Saves the latest list on disk, one write at a time.
+async fn save_lists(path: Option<PathBuf>, mut list: watch::Receiver<Option<Box<RosterList>>>) {
     while list.changed().await.is_ok() {
         let latest = list.borrow_and_update().clone();
         let (Some(path), Some(latest)) = (path.clone(), latest) else { continue };
         let saved = tokio::task::spawn_blocking(move || save_list(&path, &latest)).await;
         match saved {
             Ok(Ok(())) => {}
-            Ok(Err(e)) => tracing::error!(%e, "the list cannot be kept"),
-            Err(e) => tracing::error!(%e, "the list cannot be kept"),
+            Ok(Err(e)) => tracing::error!(%e, "cannot save the list"),
+            Err(e) => tracing::error!(%e, "cannot save the list"),
         }
     }
 }
 
-/// One connection to a node, from connecting to its end.
-async fn talk(
+/// Connects to a node and serves the connection until it ends.
+async fn serve_node_link(
     node: u32, link: u64, address: SocketAddr, mut from: mpsc::UnboundedReceiver<ToNode>,
-    queued: Arc<AtomicUsize>, to: mpsc::Sender<Came>, steady: Option<BootClock>,
+    queued: Arc<AtomicUsize>, inputs: mpsc::Sender<TimedInput>, clock: Option<BootClock>,
 ) {
-    let say = |word| to.send((Instant::now(), Input::Node { node, link, word }));
+    let send_event = |word| inputs.send((Instant::now(), Input::Node { node, link, word }));
     let stream = match TcpStream::connect(address).await {
         Ok(stream) => stream,
         Err(e) => {
-            tracing::info!(node, %e, "not connected");
-            let _ = say(NodeWord::Unreached).await;
+            tracing::info!(node, %e, "cannot connect to the node");
+            let _ = send_event(NodeWord::Unreached).await;
             return;
         }
     };
     let _ = stream.set_nodelay(true);
     let (mut read, mut write) = stream.into_split();
-    if say(NodeWord::Up).await.is_err() {
+    if send_event(NodeWord::Up).await.is_err() {
         return;
     }
     let reader = async {
@@ -561,7 +582,7 @@
             match kelpdoor_rtsp::parse(&buf) {
                 Ok(Some((message, len))) => {
                     buf.drain(..len);
-                    if say(NodeWord::Said(message)).await.is_err() {
+                    if send_event(NodeWord::Said(message)).await.is_err() {
                         return "the director ends".to_owned();
                     }
                     continue;
@@ -578,11 +599,11 @@
     };
     let writer = async {
         while let Some(ToNode { bytes, leased }) = from.recv().await {
-            let over = |until: f64| steady.is_some_and(|s| s.now() >= until);
-            if let Some((_, name)) = leased.filter(|l| over(l.0)) {
-                // We stood still, or it lay behind what the node did not read.
+            let expired = |until: f64| clock.is_some_and(|c| c.now() >= until);
+            if let Some((_, name)) = leased.filter(|l| expired(l.0)) {
+                // The process was paused, or the node read the preceding bytes too slowly.
                 queued.fetch_sub(bytes.len(), Ordering::Relaxed);
-                let _ = to.send((Instant::now(), Input::Unsent { node, link, name })).await;
+                let _ = inputs.send((Instant::now(), Input::Unsent { node, link, name })).await;
                 continue;
             }
             if let Err(e) = write.write_all(&bytes).await {
@@ -591,79 +612,83 @@
             queued.fetch_sub(bytes.len(), Ordering::Relaxed);
         }
         let _ = write.shutdown().await;
-        "hung up".to_owned()
+        "closed by the director".to_owned()
     };
     let why = tokio::select! {
         why = reader => why,
         why = writer => why,
     };
-    tracing::info!(node, %why, "link lost");
-    let _ = say(NodeWord::Lost).await;
+    tracing::info!(node, %why, "connection to the node ended");
+    let _ = send_event(NodeWord::Lost).await;
 }
 
 async fn accept(
-    listener: TcpListener, book: Arc<Deployment>, inputs: mpsc::Sender<Came>,
-    socks: mpsc::UnboundedSender<ToSocks>, verifier: Option<Arc<TokenVerifier>>,
+    listener: TcpListener, deployment: Arc<Deployment>, inputs: mpsc::Sender<TimedInput>,
+    socket_events: mpsc::UnboundedSender<SocketEvent>, verifier: Option<Arc<TokenVerifier>>,
 ) {
-    let room = Arc::new(Semaphore::new(book.players.sockets));
-    let refusals = Arc::new(Semaphore::new(REFUSALS));
+    let slots = Arc::new(Semaphore::new(deployment.players.sockets));
+    let refusals = Arc::new(Semaphore::new(MAX_REFUSALS));
     let mut tasks = JoinSet::new();
-    let mut next = 1u64;
+    let mut next_sock = 1u64;
     loop {
         while tasks.try_join_next().is_some() {}
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                // Out of descriptors, mostly: those at hand go on.
-                tracing::warn!(%e, "a connection was not accepted");
+                // Usually the process is out of file descriptors; existing connections continue.
+                tracing::warn!(%e, "cannot accept a connection");
                 sleep(Duration::from_millis(50)).await;
                 continue;
             }
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = slots.clone().try_acquire_owned() else {
             if let Ok(permit) = refusals.clone().try_acquire_owned() {
                 tasks.spawn(async move {
-                    let _ = timeout(LAST_WORDS, refuse(stream)).await;
+                    let _ = timeout(CLOSE_TIMEOUT, refuse(stream)).await;
                     drop(permit);
                 });
             }
             continue;
         };
-        let (sock, book, inputs, socks) = (next, book.clone(), inputs.clone(), socks.clone());
+        let (sock, deployment, inputs, socket_events) =
+            (next_sock, deployment.clone(), inputs.clone(), socket_events.clone());
         let verifier = verifier.clone();
-        next += 1;
+        next_sock += 1;
         tasks.spawn(async move {
             let _ = stream.set_nodelay(true);
-            match timeout(HANDSHAKE, greet(stream)).await {
-                Ok(Ok(ws)) => attend(sock, ws, &book, &inputs, &socks, verifier.as_deref()).await,
+            match timeout(HANDSHAKE_TIMEOUT, accept_websocket(stream)).await {
+                Ok(Ok(ws)) => {
+                    serve_player(sock, ws, &deployment, &inputs, &socket_events, verifier.as_deref()).await
+                }
                 Ok(Err(e)) => tracing::info!(sock, %e, "handshake refused"),
-                Err(_) => tracing::info!(sock, "handshake not finished in time"),
+                Err(_) => tracing::info!(sock, "handshake timed out"),
             }
             drop(permit);
         });
     }
 }
 
-/// Says that there is no room, and reads what the peer still sends: closing on that would reset the connection.
+/// Responds that the limit is reached, and reads what the peer still sends: closing with unread data would reset the
+/// connection.
 async fn refuse(mut stream: TcpStream) -> io::Result<()> {
-    let full = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n";
-    stream.write_all(full).await?;
+    let response = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n";
+    stream.write_all(response).await?;
     stream.shutdown().await?;
     let mut rest = [0; 512];
     while stream.read(&mut rest).await? > 0 {}
     Ok(())
 }
 
-/// The WebSocket handshake; a client that does not name our subprotocol is refused with 400.
-async fn greet(stream: TcpStream) -> Result<WebSocketStream<TcpStream>, WsError> {
+/// Performs the WebSocket handshake; a client that does not offer the subprotocol is refused with status 400.
+async fn accept_websocket(stream: TcpStream) -> Result<WebSocketStream<TcpStream>, WsError> {
     #[expect(clippy::result_large_err, reason = "the library's own signature")]
     let check = |request: &Request, mut response: Response| -> Result<Response, ErrorResponse> {
         let offered = request.headers().get_all(header::SEC_WEBSOCKET_PROTOCOL);
-        let ours = offered
+        let matches = offered
             .iter()
             .filter_map(|v| v.to_str().ok())
             .any(|v| v.split(',').any(|p| p.trim() == SUBPROTOCOL));
-        if !ours {
+        if !matches {
             let mut refusal = ErrorResponse::new(Some(format!("the subprotocol is {SUBPROTOCOL}\n")));
             *refusal.status_mut() = StatusCode::BAD_REQUEST;
             return Err(refusal);
@@ -681,44 +706,50 @@
     tokio_tungstenite::accept_hdr_async_with_config(stream, check, Some(limits)).await
 }
 
-/// Takes the token out of a message that came with one and says what it is.
-fn show(sock: u64, mut message: FromPlayer, by: Option<(&TokenVerifier, &mut Gate)>) -> Input {
+/// Creates the input for a message. If the message has a token that is needed, removes and verifies it.
+fn player_input(sock: u64, mut message: FromPlayer, verifier: Option<(&TokenVerifier, &mut Gate)>) -> Input {
     let token = match &mut message {
         FromPlayer::Start { group, token, .. } => {
             let token = token.take();
-            token.filter(|_| by.as_ref().is_some_and(|(verifier, _)| verifier.needs_token(group)))
+            token.filter(|_| verifier.as_ref().is_some_and(|(verifier, _)| verifier.needs_token(group)))
         }
         FromPlayer::Renew { token, .. } => Some(std::mem::take(token)),
         _ => None,
     };
-    match (token, by) {
-        (Some(token), Some((verifier, gate))) => {
-            let shown = verifier.verify(&token, gate);
+    match (token, verifier) {
+        (Some(token), Some((verifier, rate_limiter))) => {
+            let shown = verifier.verify(&token, rate_limiter);
             Input::Shown { sock, message, shown }
         }
         _ => Input::Player { sock, message },
     }
 }
 
-/// A player's socket, to its end.
-async fn attend(
-    sock: u64, ws: WebSocketStream<TcpStream>, book: &Deployment, inputs: &mpsc::Sender<Came>,
-    socks: &mpsc::UnboundedSender<ToSocks>, verifier: Option<&TokenVerifier>,
+/// Serves a player's socket until it is closed.
+async fn serve_player(
+    sock: u64, ws: WebSocketStream<TcpStream>, deployment: &Deployment, inputs: &mpsc::Sender<TimedInput>,
+    socket_events: &mpsc::UnboundedSender<SocketEvent>, verifier: Option<&TokenVerifier>,
 ) {
     let (mut sink, mut stream) = ws.split();
     let (to, mut from) = mpsc::unbounded_channel();
     let queued = Arc::new(AtomicUsize::new(0));
-    let own = Outbox { to: to.clone(), queued: queued.clone(), hold: None };
-    let limit = book.players.queued_bytes;
-    let idle = Duration::from_secs_f64(book.players.idle);
-    let (hold, mut held) = oneshot::channel();
-    if socks.send(ToSocks::Opened(sock, Outbox { to, queued: queued.clone(), hold: Some(hold) })).is_err() {
+    let own = Outbox { to: to.clone(), queued: queued.clone(), close_on_drop: None };
+    let limit = deployment.players.queued_bytes;
+    let idle = Duration::from_secs_f64(deployment.players.idle);
+    let (close_on_drop, mut closed) = oneshot::channel();
+    if socket_events
+        .send(SocketEvent::Opened(
+            sock,
+            Outbox { to, queued: queued.clone(), close_on_drop: Some(close_on_drop) },
+        ))
+        .is_err()
+    {
         return;
     }
     let started = Instant::now();
     let reader = async {
-        let mut gate = Gate::new(book.players.messages_a_second, 0.0);
-        let mut tokens = verifier.map(TokenVerifier::socket_rate_limiter);
+        let mut rate_limiter = Gate::new(deployment.players.messages_a_second, 0.0);
+        let mut token_rate_limiter = verifier.map(TokenVerifier::socket_rate_limiter);
         loop {
             let message = match timeout(idle, stream.next()).await {
                 Err(_) => return Some((CloseCode::Policy, "nothing came for too long")),
@@ -736,7 +767,7 @@
                 let len = text.len();
                 own.put(Out::Text(text), len, limit)
             };
-            match gate.pass(started.elapsed().as_secs_f64()) {
+            match rate_limiter.pass(started.elapsed().as_secs_f64()) {
                 Pass::Taken => {}
                 Pass::Closed => return Some((CloseCode::Policy, "too many messages")),
                 Pass::Refused => {
@@ -749,14 +780,14 @@
             match message {
                 Message::Text(text) => match FromPlayer::parse(text.as_str()) {
                     Ok(message) => {
-                        let came = Instant::now();
-                        let input = show(sock, message, verifier.zip(tokens.as_mut()));
-                        if inputs.send((came, input)).await.is_err() {
+                        let received_at = Instant::now();
+                        let input = player_input(sock, message, verifier.zip(token_rate_limiter.as_mut()));
+                        if inputs.send((received_at, input)).await.is_err() {
                             return None;
                         }
                     }
-                    Err(fault) => {
-                        if !error(ErrorCode::BadMessage, fault.to_string()) {
+                    Err(e) => {
+                        if !error(ErrorCode::BadMessage, e.to_string()) {
                             return Some((CloseCode::Again, "the player does not read"));
                         }
                     }
@@ -795,63 +826,64 @@
     let why = tokio::select! {
         why = reader => why,
         () = writer => None,
-        _ = &mut held => Some((CloseCode::Again, "the player does not read")),
+        _ = &mut closed => Some((CloseCode::Again, "the player does not read")),
     };
-    let _ = socks.send(ToSocks::Lost(sock));
+    let _ = socket_events.send(SocketEvent::Closed(sock));
     let _ = inputs.send((Instant::now(), Input::SocketLost { sock })).await;
     if let Some((code, why)) = why {
         tracing::info!(sock, why, "closing the socket");
         let frame = CloseFrame { code, reason: why.into() };
-        // What was queued goes first, then the reason.
-        let words = async {
+        // Queued messages are sent first, then the reason.
+        let send_rest = async {
             while let Ok(Out::Text(text)) = from.try_recv() {
                 sink.feed(Message::text(text)).await?;
             }
             sink.send(Message::Close(Some(frame))).await
         };
-        let _ = timeout(LAST_WORDS, words).await;
-        // Closing on unread bytes would reset the connection and take our last words along.
-        let rest = async {
-            for _ in 0..MOST_DRAINED {
+        let _ = timeout(CLOSE_TIMEOUT, send_rest).await;
+        // Closing with unread bytes would reset the connection, and the peer would lose the last messages.
+        let drain = async {
+            for _ in 0..MAX_DRAINED_MESSAGES {
                 if !matches!(stream.next().await, Some(Ok(_))) {
                     break;
                 }
             }
         };
-        let _ = timeout(LAST_WORDS, rest).await;
+        let _ = timeout(CLOSE_TIMEOUT, drain).await;
     }
 }
 
-/// Follows the roster's feed, connecting again whenever it breaks.
-async fn follow(
-    book: Arc<Deployment>, inputs: mpsc::Sender<Came>, mut asked: mpsc::UnboundedReceiver<ToRoster>,
+/// Follows the roster's feed; reconnects whenever the connection ends.
+async fn follow_roster(
+    deployment: Arc<Deployment>, inputs: mpsc::Sender<TimedInput>,
+    mut requests: mpsc::UnboundedReceiver<ToRoster>,
 ) {
-    let mut wait = ROSTER_WAIT.0;
+    let mut delay = MIN_ROSTER_RECONNECT_DELAY;
     loop {
-        let why = match TcpStream::connect(book.roster.address).await {
+        let why = match TcpStream::connect(deployment.roster.address).await {
             Err(e) => e.to_string(),
             Ok(stream) => {
                 let _ = stream.set_nodelay(true);
-                wait = ROSTER_WAIT.0;
-                read_roster(stream, &book, &inputs, &mut asked).await
+                delay = MIN_ROSTER_RECONNECT_DELAY;
+                read_roster(stream, &deployment, &inputs, &mut requests).await
             }
         };
-        tracing::warn!(%why, "the roster's feed broke; the last good list stands");
+        tracing::warn!(%why, "connection to the roster ended; keeping the last valid list");
         if inputs.send((Instant::now(), Input::Roster(FromRoster::Failed))).await.is_err() {
             return;
         }
-        sleep(Duration::from_secs_f64(wait * (0.5 + fastrand::f64()))).await;
-        wait = (wait * 2.0).min(ROSTER_WAIT.1);
-        while asked.try_recv().is_ok() {}
+        sleep(Duration::from_secs_f64(delay * (0.5 + fastrand::f64()))).await;
+        delay = (delay * 2.0).min(MAX_ROSTER_RECONNECT_DELAY);
+        while requests.try_recv().is_ok() {}
     }
 }
 
 async fn read_roster(
-    stream: TcpStream, book: &Deployment, inputs: &mpsc::Sender<Came>,
-    asked: &mut mpsc::UnboundedReceiver<ToRoster>,
+    stream: TcpStream, deployment: &Deployment, inputs: &mpsc::Sender<TimedInput>,
+    requests: &mut mpsc::UnboundedReceiver<ToRoster>,
 ) -> String {
     let (read, mut write) = stream.into_split();
-    let hello = ToRoster::Hello { director: book.director.me };
+    let hello = ToRoster::Hello { director: deployment.director.me };
     let mut first = serde_json::to_string(&hello).expect("plain data");
     first.push('\n');
     if let Err(e) = write.write_all(first.as_bytes()).await {
@@ -865,11 +897,11 @@
             match (&mut lines).take(MAX_LINE as u64).read_until(b'\n', &mut line).await {
                 Ok(0) => return "closed by the roster".to_owned(),
                 Err(e) => return e.to_string(),
-                Ok(_) if !line.ends_with(b"\n") => return "a line too long or cut short".to_owned(),
+                Ok(_) if !line.ends_with(b"\n") => return "line too long or truncated".to_owned(),
                 Ok(_) => {}
             }
             match serde_json::from_slice::<FromRoster>(&line) {
-                Err(e) => tracing::warn!(%e, "a line of the roster is passed over"),
+                Err(e) => tracing::warn!(%e, "ignoring an invalid line from the roster"),
                 Ok(message) => {
                     if inputs.send((Instant::now(), Input::Roster(message))).await.is_err() {
                         return "the director ends".to_owned();
@@ -879,8 +911,8 @@
         }
     };
     let writer = async {
-        while let Some(ask) = asked.recv().await {
-            let mut text = serde_json::to_string(&ask).expect("plain data");
+        while let Some(request) = requests.recv().await {
+            let mut text = serde_json::to_string(&request).expect("plain data");
             text.push('\n');
             if let Err(e) = write.write_all(text.as_bytes()).await {
                 return e.to_string();
