--- a/crates/kelpdoor-director/tests/following.rs
+++ b/crates/kelpdoor-director/tests/following.rs
@@ -1,4 +1,4 @@
-//! A director's side on sockets: three voters in this process, and a director that starts, ends and starts again.
+//! The follower of the agreed rules over sockets: three voters in this process, and a director that restarts.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,10 +21,10 @@
 directors(names = ["a", "b"], max_setups = 3, contradiction = 0.5)
 voters(at = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"])
 "#;
-/// Far longer than anything here takes.
-const LONG: Duration = Duration::from_secs(60);
+/// Time limit, far longer than any step of the test takes.
+const TIME_LIMIT: Duration = Duration::from_secs(60);
 
-async fn three(dir: &Path) -> (Vec<SocketAddr>, Vec<RunningVoter>) {
+async fn start_three_voters(dir: &Path) -> (Vec<SocketAddr>, Vec<RunningVoter>) {
     for attempt in 0..10 {
         let mut held = Vec::new();
         for _ in 0..3 {
@@ -50,23 +50,23 @@
             return (voters, running);
         }
     }
-    panic!("no three voters start");
+    panic!("three voters did not start");
 }
 
 async fn agree(at: SocketAddr, after: u64, text: &str) {
     for _ in 0..20 {
         let mut stream = BufReader::new(TcpStream::connect(at).await.unwrap());
         let value = Value { id: after + 7, text: text.into() };
-        for ask in [
+        for request in [
             ClientRequest::Hello { fleet: "test".to_owned() },
             ClientRequest::Propose { after, value, sure: true },
         ] {
-            let line = format!("{}\n", serde_json::to_string(&ask).unwrap());
+            let line = format!("{}\n", serde_json::to_string(&request).unwrap());
             stream.get_mut().write_all(line.as_bytes()).await.unwrap();
         }
         let mut lines = stream.lines();
         let _welcome = lines.next_line().await.unwrap();
-        let line = lines.next_line().await.unwrap().expect("an answer");
+        let line = lines.next_line().await.unwrap().expect("a response");
         if matches!(serde_json::from_str(&line).unwrap(), VoterResponse::Agreed { .. }) {
             return;
         }
@@ -74,7 +74,7 @@
     panic!("never agreed");
 }
 
-fn own(dir: &Path, name: &str, voters: &[SocketAddr]) -> LocalSettings {
+fn local_settings(dir: &Path, name: &str, voters: &[SocketAddr]) -> LocalSettings {
     let path = dir.join(format!("{name}.star"));
     let list: Vec<String> = voters.iter().map(|v| format!("{:?}", v.to_string())).collect();
     let text = format!(
@@ -87,44 +87,47 @@
     LocalSettings::read(&path).unwrap().expect("with an agreement")
 }
 
-/// Waits until what may be acted on is as wanted.
-async fn until(following: &mut RulesFollower, wanted: impl Fn(&RulesInForce, f64) -> bool) -> RulesInForce {
-    let steady = BootClock::new(1.0);
-    timeout(LONG, async {
+/// Waits until the rules that may be acted on meet a condition.
+async fn wait_until(
+    follower: &mut RulesFollower, condition: impl Fn(&RulesInForce, f64) -> bool,
+) -> RulesInForce {
+    let clock = BootClock::new(1.0);
+    timeout(TIME_LIMIT, async {
         loop {
-            let ruling = following.rules();
-            if wanted(&ruling, steady.now()) {
-                return ruling;
+            let rules = follower.rules();
+            if condition(&rules, clock.now()) {
+                return rules;
             }
-            following.changed().await;
+            follower.changed().await;
         }
     })
     .await
-    .expect("in the end")
+    .expect("within the time limit")
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_director_that_starts_again_on_a_kept_copy_acts_once_a_lease_has_passed() {
+async fn restarted_director_with_cached_rules_acts_only_after_one_lease_has_passed() {
     let dir = tempfile::tempdir().unwrap();
-    let (voters, _running) = three(dir.path()).await;
+    let (voters, _running) = start_three_voters(dir.path()).await;
     agree(voters[0], 0, DOCUMENT).await;
-    let (mut first, book) = RulesFollower::start(own(dir.path(), "a", &voters)).await.unwrap();
-    assert_eq!((book.director.me, book.director.of), (0, 2));
-    until(&mut first, |r, now| now < r.lease(now)).await;
+    let (mut first, deployment) =
+        RulesFollower::start(local_settings(dir.path(), "a", &voters)).await.unwrap();
+    assert_eq!((deployment.director.me, deployment.director.of), (0, 2));
+    wait_until(&mut first, |r, now| now < r.lease(now)).await;
     drop(first);
-    // No newer version comes: what it kept is the newest, and the first voter's word of it no permission yet.
-    let (mut again, _) = RulesFollower::start(own(dir.path(), "a", &voters)).await.unwrap();
-    let kept = again.rules();
-    assert!(kept.label.starts_with("1/") && kept.lease(f64::MAX) == f64::NEG_INFINITY, "{kept:?}");
-    let r = until(&mut again, |r, now| now < r.lease(now)).await;
+    // There is no newer version: the cached one is the newest, and neither it nor one voter's response gives a lease yet.
+    let (mut again, _) = RulesFollower::start(local_settings(dir.path(), "a", &voters)).await.unwrap();
+    let cached = again.rules();
+    assert!(cached.label.starts_with("1/") && cached.lease(f64::MAX) == f64::NEG_INFINITY, "{cached:?}");
+    let r = wait_until(&mut again, |r, now| now < r.lease(now)).await;
     assert!(r.label.starts_with("1/") && r.listed, "{r:?}");
-    // Off the list: it begins nothing, whatever lease it has.
+    // A director that is not listed starts no sessions, even under a lease.
     agree(voters[1], 1, &DOCUMENT.replace("[\"a\", \"b\"]", "[\"b\"]")).await;
-    let r = until(&mut again, |r, _| r.label.starts_with("2/")).await;
+    let r = wait_until(&mut again, |r, _| r.label.starts_with("2/")).await;
     assert!(!r.listed && r.lease(r.from.min(r.until)) == f64::NEG_INFINITY, "{r:?}");
-    until(&mut again, |r, now| r.until > now + 0.1 && r.lease(now) == f64::NEG_INFINITY).await;
-    // A damaged copy is done without: the voters have what it had.
+    wait_until(&mut again, |r, now| r.until > now + 0.1 && r.lease(now) == f64::NEG_INFINITY).await;
+    // A damaged cached version is ignored, because the voters have the same one.
     std::fs::write(dir.path().join("b.rules"), "kelpdoor-agreed 1 00000000\n{}").unwrap();
-    let (mut other, _) = RulesFollower::start(own(dir.path(), "b", &voters)).await.unwrap();
-    until(&mut other, |r, now| r.label.starts_with("2/") && now < r.lease(now)).await;
+    let (mut other, _) = RulesFollower::start(local_settings(dir.path(), "b", &voters)).await.unwrap();
+    wait_until(&mut other, |r, now| r.label.starts_with("2/") && now < r.lease(now)).await;
 }
