--- a/crates/kelpdoor-director/benches/desk.rs
+++ b/crates/kelpdoor-director/benches/desk.rs
@@ -8,17 +8,17 @@
 
 use common::{Bench, book, ok, requests, start};
 use kelpdoor_api::{FromPlayer, RequestKey};
-use kelpdoor_director::{Effect, FromRoster, Input, NodeWord, Phase, RosterNode, RosterTitle};
+use kelpdoor_director::{Effect, Input, NodeEvent, Phase, RosterMessage, RosterNode, RosterTitle};
 use kelpdoor_rtsp::{Method, header_names};
 
 const NODES: u32 = 40;
 const RATE: f64 = 500.0;
 
-fn fleet() -> FromRoster {
+fn fleet() -> RosterMessage {
     let node = |id: u32| RosterNode { size: 50.0, cell: id as u16, ..common::listed(id % 6, Phase::Ready) };
     let nodes = (0..NODES).map(|id| RosterNode { id, ..node(id) }).collect();
     let titles = (0..40).map(|k| RosterTitle { name: format!("t{k}"), first_cell: k, cells: 5 }).collect();
-    FromRoster::Whole { version: 1, nodes, titles }
+    RosterMessage::Whole { version: 1, nodes, titles }
 }
 
 struct Driver {
@@ -47,7 +47,7 @@
                 more.extend(self.bench.input(Input::Node {
                     node,
                     link,
-                    word: NodeWord::Said(answer.into()),
+                    event: NodeEvent::Received(answer.into()),
                 }));
             }
             todo = more;
--- a/crates/kelpdoor-director/src/desk.rs
+++ b/crates/kelpdoor-director/src/core.rs
@@ -23,9 +23,9 @@
 use kelpdoor_seats::Holder;
 use kelpdoor_tokens::Entitlement;
 
-use crate::effect::{Effect, Input, NodeWord, Shown};
+use crate::effect::{Effect, Input, NodeEvent, TokenCheck};
 use crate::link::{Asked, Line, Link};
-use crate::roster::{FromRoster, Phase, RosterList, RosterNode, RosterTitle, ToRoster};
+use crate::roster::{Phase, RosterList, RosterMessage, RosterNode, RosterRequest, RosterTitle};
 use crate::session::{Attempt, Session, Stage};
 use crate::timers::{Timer, Timers};
 
@@ -47,7 +47,8 @@
 /// What is held at the moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    pub owed: usize,
+    /// Sessions whose final answer is pending.
+    pub pending: usize,
     pub playing: usize,
     /// Sessions known, remembered answers included.
     pub known: usize,
@@ -92,7 +93,7 @@
     done: bool,
 }
 
-pub struct Desk {
+pub struct DirectorCore {
     director: Director,
     hands: Hands,
     last_round: f64,
@@ -103,7 +104,7 @@
     LoadReport { streams: load.streams, link: load.link, uplink: load.uplink }
 }
 
-impl Desk {
+impl DirectorCore {
     /// `seed` starts all chance; `now` in seconds since 1970.
     pub fn new(book: &Deployment, seed: u64, now: f64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -140,36 +141,38 @@
             closing: false,
             done: false,
         };
-        Desk { director, hands, last_round: now }
+        DirectorCore { director, hands, last_round: now }
     }
 
     /// Takes something in; it acts with the next [`round`](Self::round).
-    pub fn take(&mut self, now: f64, input: Input) {
-        self.take_late(now, 0.0, input);
+    pub fn handle_input(&mut self, now: f64, input: Input) {
+        self.handle_delayed_input(now, 0.0, input);
     }
 
-    /// As [`take`](Self::take), of something that came so many seconds ago: a player's time runs from there.
-    pub fn take_late(&mut self, now: f64, waited: f64, input: Input) {
+    /// As [`handle_input`](Self::handle_input), of something that came so many seconds ago: a player's time runs from there.
+    pub fn handle_delayed_input(&mut self, now: f64, waited: f64, input: Input) {
         let h = &mut self.hands;
         h.now = h.now.max(now);
         match input {
-            Input::Player { sock, message } => h.player(sock, message, waited.max(0.0), Shown::Nothing),
-            Input::Shown { sock, message, shown } => h.shown(sock, message, waited.max(0.0), shown),
+            Input::Player { sock, message } => h.player(sock, message, waited.max(0.0), TokenCheck::Missing),
+            Input::PlayerWithToken { sock, message, check } => {
+                h.player_with_token(sock, message, waited.max(0.0), check);
+            }
             Input::Keeper(word) => {
                 let out =
                     h.holder.as_mut().map(|holder| holder.handle_response(h.now, &word)).unwrap_or_default();
                 h.seats_out(out);
             }
             Input::SocketLost { sock } => h.socket_lost(sock),
-            Input::Node { node, link, word } => h.node(node, link, word),
+            Input::Node { node, link, event } => h.handle_node_event(node, link, event),
             Input::Roster(message) => h.roster(message),
             Input::Cached(list) => h.cached(list),
-            Input::Rules { book, label } => {
-                h.rules(*book, label);
+            Input::Rules { deployment, label } => {
+                h.rules(*deployment, label);
                 self.director.update_terms(&h.book.terms());
             }
             Input::Lease { until } => h.lease = Some(until),
-            Input::Unsent { node, link, name } => h.unsent(node, link, name),
+            Input::Unsent { node, link, batch } => h.unsent(node, link, batch),
             Input::ShutDown => h.closing = true,
         }
     }
@@ -201,7 +204,7 @@
     }
 
     /// When a round is due though nothing comes in.
-    pub fn wake_at(&self) -> f64 {
+    pub fn next_timer_at(&self) -> f64 {
         let h = &self.hands;
         let more = !h.round.ended.is_empty() || !h.round.departures.is_empty();
         let seats = h.holder.as_ref().map(Holder::next_timer_at);
@@ -212,7 +215,7 @@
     pub fn counts(&self) -> Counts {
         let h = &self.hands;
         Counts {
-            owed: h.owed,
+            pending: h.owed,
             playing: h.held - h.owed,
             known: h.sess.len(),
             timers: h.timers.len(),
@@ -224,7 +227,7 @@
 
 impl Hands {
     fn note(&mut self, sess: Option<u64>, text: impl Into<String>) {
-        self.effects.push(Effect::Note { sess, text: text.into() });
+        self.effects.push(Effect::Log { sess, text: text.into() });
     }
 
     fn say(&mut self, sock: Option<u64>, message: ToPlayer) {
@@ -241,7 +244,7 @@
 
     // Players.
 
-    fn player(&mut self, sock: u64, message: FromPlayer, waited: f64, shown: Shown) {
+    fn player(&mut self, sock: u64, message: FromPlayer, waited: f64, shown: TokenCheck) {
         match message {
             FromPlayer::Ping { n } => self.say(Some(sock), ToPlayer::Pong { n }),
             FromPlayer::Stop { key } => match self.keys.get(&key).copied() {
@@ -526,13 +529,13 @@
             (Some(Effect::Node { node: n, link: l, bytes: before }), None) if (*n, *l) == (node, link) => {
                 before.append(&mut bytes);
             }
-            (Some(Effect::Leased { node: n, link: l, name: of, bytes: before }), Some(name))
-                if (*n, *l, *of) == (node, link, name) =>
+            (Some(Effect::Leased { node: n, link: l, batch: b, bytes: before }), Some(batch))
+                if (*n, *l, *b) == (node, link, batch) =>
             {
                 before.append(&mut bytes);
             }
             (_, None) => self.effects.push(Effect::Node { node, link, bytes }),
-            (_, Some(name)) => self.effects.push(Effect::Leased { node, link, name, bytes }),
+            (_, Some(batch)) => self.effects.push(Effect::Leased { node, link, batch, bytes }),
         }
     }
 
@@ -547,14 +550,14 @@
         self.timers.set(due, Timer::ConnectDue { node, link: number });
     }
 
-    fn node(&mut self, node: u32, number: u64, word: NodeWord) {
+    fn handle_node_event(&mut self, node: u32, number: u64, event: NodeEvent) {
         let Some(link) = self.links.get_mut(&node).filter(|l| l.number == number && l.line != Line::Down)
         else {
             return;
         };
         link.heard = self.now;
-        match word {
-            NodeWord::Up => {
+        match event {
+            NodeEvent::Connected => {
                 if link.line != Line::Dialling {
                     return;
                 }
@@ -575,10 +578,10 @@
                 let look = self.now + self.book.node_links.quiet / 2.0;
                 self.timers.set(look, Timer::Look { node, link: number });
             }
-            NodeWord::Unreached => self.unreached(node),
-            NodeWord::Lost => self.lose(node, number, false),
-            NodeWord::Said(Message::Response(r)) => self.answered(node, r),
-            NodeWord::Said(Message::Request(r)) => self.noticed(node, r),
+            NodeEvent::ConnectFailed => self.unreached(node),
+            NodeEvent::ConnectionLost => self.lose(node, number, false),
+            NodeEvent::Received(Message::Response(r)) => self.answered(node, r),
+            NodeEvent::Received(Message::Request(r)) => self.noticed(node, r),
         }
     }
 
@@ -613,7 +616,7 @@
         let held = std::mem::take(&mut link.sessions);
         link.waiting.clear();
         if hang_up {
-            self.effects.push(Effect::HangUp { node, link: number });
+            self.effects.push(Effect::Disconnect { node, link: number });
         }
         self.down(node);
         for id in held {
@@ -972,27 +975,29 @@
         self.relink();
     }
 
-    fn roster(&mut self, message: FromRoster) {
+    fn roster(&mut self, message: RosterMessage) {
         let fleet = self.book.fleet.clone();
-        if let Err(e) = self.list.take(&message, &fleet) {
+        if let Err(e) = self.list.apply(&message, &fleet) {
             self.note(None, format!("roster: {e}; the last good list stands"));
-            if matches!(message, FromRoster::Change { .. }) {
+            if matches!(message, RosterMessage::Change { .. }) {
                 // What it changed is missing from now on, so all of it is asked for.
-                self.effects.push(Effect::AskRoster(ToRoster::Whole));
+                self.effects.push(Effect::RequestRoster(RosterRequest::Whole));
             }
             return;
         }
         let change = match &message {
-            FromRoster::Failed => ListChange::Unanswered,
-            FromRoster::Whole { nodes, .. } => {
+            RosterMessage::Failed => ListChange::Unanswered,
+            RosterMessage::Whole { nodes, .. } => {
                 ListChange::Whole(nodes.iter().map(|n| self.listed(n)).collect())
             }
-            FromRoster::Change { nodes, .. } => {
+            RosterMessage::Change { nodes, .. } => {
                 ListChange::Changed(nodes.iter().map(|n| self.listed(n)).collect())
             }
         };
         self.round.list_changes.push(change);
-        let (FromRoster::Whole { nodes, .. } | FromRoster::Change { nodes, .. }) = &message else { return };
+        let (RosterMessage::Whole { nodes, .. } | RosterMessage::Change { nodes, .. }) = &message else {
+            return;
+        };
         let kept_off = nodes.iter().filter(|n| self.phase(n) != n.phase).map(|n| n.id.to_string());
         let kept_off = kept_off.collect::<Vec<_>>().join(", ");
         if !kept_off.is_empty() {
@@ -1100,7 +1105,7 @@
             }
             Timer::ConnectDue { node, link } => {
                 if self.links.get(&node).is_some_and(|l| l.number == link && l.line == Line::Dialling) {
-                    self.effects.push(Effect::HangUp { node, link });
+                    self.effects.push(Effect::Disconnect { node, link });
                     self.unreached(node);
                 }
             }
@@ -1270,11 +1275,11 @@
     }
 
     fn subscribe(&mut self, on: bool) {
-        self.effects.push(Effect::AskRoster(ToRoster::Subscribe { on }));
+        self.effects.push(Effect::RequestRoster(RosterRequest::Subscribe { on }));
     }
 
     fn fetch_list(&mut self) {
-        self.effects.push(Effect::AskRoster(ToRoster::Whole));
+        self.effects.push(Effect::RequestRoster(RosterRequest::Whole));
     }
 
     fn probe(&mut self, node: NodeId) {
--- a/crates/kelpdoor-director/src/desk/seats.rs
+++ b/crates/kelpdoor-director/src/core/seats.rs
@@ -11,7 +11,7 @@
 use kelpdoor_tokens::Entitlement;
 
 use super::Hands;
-use crate::effect::{Effect, Shown};
+use crate::effect::{Effect, TokenCheck};
 use crate::session::{Seat, Stage};
 use crate::timers::Timer;
 
@@ -22,7 +22,9 @@
 
 impl Hands {
     /// A message that came with a token.
-    pub(super) fn shown(&mut self, sock: u64, message: FromPlayer, waited: f64, shown: Shown) {
+    pub(super) fn player_with_token(
+        &mut self, sock: u64, message: FromPlayer, waited: f64, shown: TokenCheck,
+    ) {
         match message {
             FromPlayer::Renew { key, .. } => self.renew(sock, &key, shown),
             message => self.player(sock, message, waited, shown),
@@ -31,23 +33,27 @@
 
     /// What of the token allows a session of the group, or the error that its player gets.
     pub(super) fn entitled(
-        &self, group: usize, shown: Shown,
+        &self, group: usize, shown: TokenCheck,
     ) -> Result<Option<Entitlement>, (ErrorCode, String)> {
         let group = &self.book.groups[group];
         if !group.token || self.holder.is_none() {
             return Ok(None);
         }
         match shown {
-            Shown::Nothing => Err((ErrorCode::TokenMissing, format!("group {:?} needs a token", group.name))),
-            Shown::Bad(why) => Err((ErrorCode::TokenRefused, why)),
-            Shown::TooFast => Err((ErrorCode::TooFast, "too many tokens a second".to_owned())),
+            TokenCheck::Missing => {
+                Err((ErrorCode::TokenMissing, format!("group {:?} needs a token", group.name)))
+            }
+            TokenCheck::Refused(why) => Err((ErrorCode::TokenRefused, why)),
+            TokenCheck::TooFast => Err((ErrorCode::TooFast, "too many tokens a second".to_owned())),
             // It lay in line for that long.
-            Shown::Good(e) if e.expires <= self.now => Err((ErrorCode::TokenRefused, EXPIRED.to_owned())),
-            Shown::Good(e) if e.group.as_ref().is_some_and(|g| *g != group.name) => {
+            TokenCheck::Valid(e) if e.expires <= self.now => {
+                Err((ErrorCode::TokenRefused, EXPIRED.to_owned()))
+            }
+            TokenCheck::Valid(e) if e.group.as_ref().is_some_and(|g| *g != group.name) => {
                 let of = e.group.unwrap_or_default();
                 Err((ErrorCode::TokenRefused, format!("the token is for group {of:?}")))
             }
-            Shown::Good(e) => Ok(Some(*e)),
+            TokenCheck::Valid(e) => Ok(Some(*e)),
         }
     }
 
@@ -68,15 +74,17 @@
         self.seats_out(out);
     }
 
-    fn renew(&mut self, sock: u64, key: &RequestKey, shown: Shown) {
+    fn renew(&mut self, sock: u64, key: &RequestKey, shown: TokenCheck) {
         let e = match shown {
-            Shown::Good(e) if e.expires <= self.now => {
+            TokenCheck::Valid(e) if e.expires <= self.now => {
                 return self.error(sock, key, ErrorCode::TokenRefused, EXPIRED);
             }
-            Shown::Good(e) => e,
-            Shown::Bad(why) => return self.error(sock, key, ErrorCode::TokenRefused, why),
-            Shown::TooFast => return self.error(sock, key, ErrorCode::TooFast, "too many tokens a second"),
-            Shown::Nothing => return self.error(sock, key, ErrorCode::TokenMissing, "no token came"),
+            TokenCheck::Valid(e) => e,
+            TokenCheck::Refused(why) => return self.error(sock, key, ErrorCode::TokenRefused, why),
+            TokenCheck::TooFast => {
+                return self.error(sock, key, ErrorCode::TooFast, "too many tokens a second");
+            }
+            TokenCheck::Missing => return self.error(sock, key, ErrorCode::TokenMissing, "no token came"),
         };
         self.seats_tick();
         let Some(&id) = self.keys.get(key) else {
--- a/crates/kelpdoor-director/src/effect.rs
+++ b/crates/kelpdoor-director/src/effect.rs
@@ -1,5 +1,5 @@
-//! What comes into the desk and what it wants done, as plain data: the shell carries effects out, the journal
-//! keeps both, tests and models make inputs up.
+//! Inputs and effects of the [`DirectorCore`](crate::DirectorCore) as plain data. The shell carries effects out, the
+//! journal records both, and tests make up inputs. Attributes keep the names that journals have on disk.
 
 use std::net::SocketAddr;
 
@@ -10,123 +10,146 @@
 use kelpdoor_tokens::Entitlement;
 use serde::{Deserialize, Serialize};
 
-use crate::roster::{FromRoster, RosterList, ToRoster};
+use crate::roster::{RosterList, RosterMessage, RosterRequest};
 
-/// What a node's link brings. `link` numbers the connection: words of an earlier one are passed over.
+/// An event on the connection to a media node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum NodeWord {
-    Up,
-    /// It could not be connected; nothing was sent.
-    Unreached,
-    /// It broke, or the peer sent what is no RTSP.
-    Lost,
-    #[serde(with = "wire_text")]
-    Said(Message),
+pub enum NodeEvent {
+    #[serde(rename = "Up")]
+    Connected,
+    /// The connection attempt failed; nothing was sent.
+    #[serde(rename = "Unreached")]
+    ConnectFailed,
+    /// The connection broke, or the peer sent bytes that are not RTSP.
+    #[serde(rename = "Lost")]
+    ConnectionLost,
+    /// The node sent a complete RTSP message.
+    #[serde(rename = "Said", with = "wire_text")]
+    Received(Message),
 }
 
-/// What a token that came with a message turned out to be. The token itself stays with its socket.
+/// The result of verifying the token of a message. The token itself does not enter the core.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Shown {
-    Nothing,
-    Good(Box<Entitlement>),
-    /// Why it is refused, in words for the player.
-    Bad(String),
-    /// More tokens than are verified in a second.
+pub enum TokenCheck {
+    /// The message has no token.
+    #[serde(rename = "Nothing")]
+    Missing,
+    #[serde(rename = "Good")]
+    Valid(Box<Entitlement>),
+    /// The token is refused; the text tells the player why.
+    #[serde(rename = "Bad")]
+    Refused(String),
+    /// More tokens arrived than are verified per second.
     TooFast,
 }
 
+/// An input of the core.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
-    /// A message from a player on that socket.
+    /// A message without a token from a player on socket `sock`.
     Player {
         sock: u64,
         message: FromPlayer,
     },
-    /// A message that came with a token, which is taken out.
-    Shown {
+    /// A message that came with a token. The token is removed from the message; `check` is its verification result.
+    #[serde(rename = "Shown")]
+    PlayerWithToken {
         sock: u64,
         message: FromPlayer,
-        shown: Shown,
+        #[serde(rename = "shown")]
+        check: TokenCheck,
     },
-    /// A word of the keeper's of seats.
+    /// A response of the seat keeper.
     Keeper(KeeperResponse),
-    /// A socket is gone; its sessions may be taken up on another one.
+    /// A player's socket is closed; its sessions may resume on another one.
     SocketLost {
         sock: u64,
     },
+    /// An event on a node's connection. `link` is the number of the connection; events of earlier ones are ignored.
     Node {
         node: u32,
         link: u64,
-        word: NodeWord,
+        #[serde(rename = "word")]
+        event: NodeEvent,
     },
-    Roster(FromRoster),
-    /// The list kept from before this start.
+    Roster(RosterMessage),
+    /// The node list that was saved before this start.
     Cached(RosterList),
-    /// Other rules are in force, as agreed; `label` names their versions.
+    /// Other agreed rules are in force; `label` names their versions.
     Rules {
-        book: Box<Deployment>,
+        #[serde(rename = "book")]
+        deployment: Box<Deployment>,
         label: String,
     },
-    /// Something new may be begun until then, s; nothing where it is past.
+    /// The lease on the rules: new sessions may begin until `until`, in seconds since 1970.
     Lease {
         until: f64,
     },
-    /// A SETUP or a change of rung did not leave: the lease was over when its turn came.
+    /// The bytes of an [`Effect::Leased`] were not sent, because the lease had expired when their turn came.
     Unsent {
         node: u32,
         link: u64,
-        name: u64,
+        #[serde(rename = "name")]
+        batch: u64,
     },
-    /// No new sessions from now on; what is owed is answered.
+    /// Begin no new sessions from now on; pending requests are still answered.
     ShutDown,
 }
 
+/// An action that the shell carries out for the core.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Effect {
-    /// `sess`: the session that it is about, for the log.
+    /// Send a message to the player on socket `sock`. `sess` is its session, for the log.
     Player {
         sock: u64,
         sess: Option<u64>,
         message: ToPlayer,
     },
+    /// Open connection number `link` to a node.
     Dial {
         node: u32,
         link: u64,
         address: SocketAddr,
     },
-    /// Bytes for a node, whole messages; in the journal as text.
+    /// Send complete messages to a node. The journal holds the bytes as text.
     Node {
         node: u32,
         link: u64,
         #[serde(with = "bytes_text")]
         bytes: Vec<u8>,
     },
-    /// A SETUP with its PLAY behind it, or a change of rung, of a director that acts under a lease: it leaves while that
-    /// lasts, or not at all.
+    /// Send either a SETUP followed by its PLAY, or a change of rung, while the lease is valid. After that the shell
+    /// drops the bytes and reports [`Input::Unsent`].
     Leased {
         node: u32,
         link: u64,
-        /// Of a SETUP the one on the wire.
-        name: u64,
+        /// Identifies the requests. A SETUP and its PLAY share the number in the SETUP's Pipelined-Requests header.
+        #[serde(rename = "name")]
+        batch: u64,
         #[serde(with = "bytes_text")]
         bytes: Vec<u8>,
     },
-    HangUp {
+    /// Close a node's connection.
+    #[serde(rename = "HangUp")]
+    Disconnect {
         node: u32,
         link: u64,
     },
-    AskRoster(ToRoster),
-    /// For the keeper of seats; lost where it cannot be reached, and said again by the desk.
+    /// Send a request to the roster.
+    #[serde(rename = "AskRoster")]
+    RequestRoster(RosterRequest),
+    /// Send a request to the seat keeper. It is dropped if the keeper is unreachable; the core retries it.
     Keeper(KeeperRequest),
     SaveList(Box<RosterList>),
-    /// For the log.
-    Note {
+    /// Write a log line.
+    #[serde(rename = "Note")]
+    Log {
         sess: Option<u64>,
         text: String,
     },
-    /// The decisions say that they cannot be trusted any more.
+    /// The placement logic reports that its own state is inconsistent.
     Fault(String),
-    /// All is answered and torn down: the shell may end.
+    /// Shutdown is complete: every request is answered and every session is torn down.
     Done,
 }
 
@@ -142,7 +165,7 @@
         let text = String::deserialize(from)?;
         match parse(text.as_bytes()) {
             Ok(Some((message, _))) => Ok(message),
-            Ok(None) => Err(D::Error::custom("half a message")),
+            Ok(None) => Err(D::Error::custom("incomplete RTSP message")),
             Err(e) => Err(D::Error::custom(e)),
         }
     }
--- a/crates/kelpdoor-director/src/lib.rs
+++ b/crates/kelpdoor-director/src/lib.rs
@@ -1,14 +1,14 @@
-//! The director as a library: [`Desk`] turns what came in into rounds of the decisions and their orders into
+//! The director as a library: [`DirectorCore`] turns what came in into rounds of the decisions and their orders into
 //! effects, without I/O; [`serve`] owns sockets and timers round it and has no rule of its own. Two directors in
 //! one process share nothing.
 
-mod desk;
+mod core;
 pub mod effect;
 mod following;
-mod gate;
 pub mod journal;
 mod keeping;
 mod link;
+mod rate_limiter;
 mod roster;
 mod session;
 mod shell;
@@ -16,15 +16,15 @@
 mod timers;
 mod verify;
 
-pub use desk::{Counts, Desk};
-pub use effect::{Effect, Input, NodeWord, Shown};
+pub use core::{Counts, DirectorCore};
+pub use effect::{Effect, Input, NodeEvent, TokenCheck};
 pub use following::{Following, Ruling, kept};
-pub use gate::{Gate, Pass};
 pub use keeping::{keeper_options, pools};
 pub use kelpdoor_clock::{SlewedClock, SlewedTime};
+pub use rate_limiter::{RateDecision, RateLimiter};
 pub use roster::{
-    FromRoster, MAX_LINE, MAX_NODES, MAX_TITLES, Phase, RosterFault, RosterList, RosterNode, RosterTitle,
-    ToRoster,
+    MAX_LINE, MAX_NODES, MAX_TITLES, Phase, RosterError, RosterList, RosterMessage, RosterNode,
+    RosterRequest, RosterTitle,
 };
 pub use shell::{Running, ServeOptions, serve};
 pub use store::{StoreError, load_list, save_list};
--- a/crates/kelpdoor-director/src/roster.rs
+++ b/crates/kelpdoor-director/src/roster.rs
@@ -44,7 +44,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum FromRoster {
+pub enum RosterMessage {
     Whole {
         version: u64,
         nodes: Vec<RosterNode>,
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ToRoster {
+pub enum RosterRequest {
     /// First on each connection.
     Hello {
         director: u32,
@@ -74,7 +74,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum RosterFault {
+pub enum RosterError {
     #[error("{0} nodes or titles are more than are taken")]
     TooMany(usize),
     #[error("node {0}: zone {1:?} is not in the settings")]
@@ -104,36 +104,36 @@
 }
 
 /// Checks nodes and titles against the settings.
-pub fn check(nodes: &[RosterNode], titles: &[RosterTitle], fleet: &Fleet) -> Result<(), RosterFault> {
+pub fn check(nodes: &[RosterNode], titles: &[RosterTitle], fleet: &Fleet) -> Result<(), RosterError> {
     if nodes.len() > MAX_NODES || titles.len() > MAX_TITLES {
-        return Err(RosterFault::TooMany(nodes.len().max(titles.len())));
+        return Err(RosterError::TooMany(nodes.len().max(titles.len())));
     }
     let mut seen = std::collections::BTreeSet::new();
     for n in nodes {
         if !seen.insert(n.id) {
-            return Err(RosterFault::Twice(n.id));
+            return Err(RosterError::Twice(n.id));
         }
         if !fleet.zones.contains(&n.zone) {
-            return Err(RosterFault::Zone(n.id, n.zone.clone()));
+            return Err(RosterError::Zone(n.id, n.zone.clone()));
         }
         if !fleet.kinds.contains_key(&n.kind) {
-            return Err(RosterFault::Kind(n.id, n.kind.clone()));
+            return Err(RosterError::Kind(n.id, n.kind.clone()));
         }
         if n.cell >= fleet.cells {
-            return Err(RosterFault::Cell(n.id, n.cell, fleet.cells));
+            return Err(RosterError::Cell(n.id, n.cell, fleet.cells));
         }
         let numbers = [n.size, n.up_since];
         if !numbers.iter().all(|v| v.is_finite() && *v >= 0.0) {
-            return Err(RosterFault::Number(n.id));
+            return Err(RosterError::Number(n.id));
         }
     }
     for t in titles {
         let plain = |b: u8| b.is_ascii_alphanumeric() || b"._~-".contains(&b);
         if t.name.is_empty() || t.name.len() > 128 || !t.name.bytes().all(plain) {
-            return Err(RosterFault::Name(t.name.clone()));
+            return Err(RosterError::Name(t.name.clone()));
         }
         if t.first_cell >= fleet.cells || t.cells == 0 || t.cells > fleet.cells {
-            return Err(RosterFault::Cells(t.name.clone(), t.cells, t.first_cell, fleet.cells));
+            return Err(RosterError::Cells(t.name.clone(), t.cells, t.first_cell, fleet.cells));
         }
     }
     Ok(())
@@ -141,10 +141,10 @@
 
 impl RosterList {
     /// Takes a message in whole, or not at all.
-    pub fn take(&mut self, message: &FromRoster, fleet: &Fleet) -> Result<(), RosterFault> {
+    pub fn apply(&mut self, message: &RosterMessage, fleet: &Fleet) -> Result<(), RosterError> {
         match message {
-            FromRoster::Failed => {}
-            FromRoster::Whole { version, nodes, titles } => {
+            RosterMessage::Failed => {}
+            RosterMessage::Whole { version, nodes, titles } => {
                 check(nodes, titles, fleet)?;
                 *self = RosterList {
                     version: *version,
@@ -152,14 +152,14 @@
                     titles: titles.iter().map(|t| (t.name.clone(), t.clone())).collect(),
                 };
             }
-            FromRoster::Change { version, nodes, titles } => {
+            RosterMessage::Change { version, nodes, titles } => {
                 check(nodes, titles, fleet)?;
                 if *version <= self.version {
-                    return Err(RosterFault::Version(*version, self.version));
+                    return Err(RosterError::Version(*version, self.version));
                 }
                 if self.titles.len() + titles.len() > MAX_TITLES || self.nodes.len() + nodes.len() > MAX_NODES
                 {
-                    return Err(RosterFault::TooMany(self.titles.len() + titles.len()));
+                    return Err(RosterError::TooMany(self.titles.len() + titles.len()));
                 }
                 self.version = *version;
                 for n in nodes {
--- a/crates/kelpdoor-director/src/shell.rs
+++ b/crates/kelpdoor-director/src/shell.rs
@@ -1,4 +1,4 @@
-//! The shell: sockets, timers and files round a [`Desk`]. It decides nothing: it stamps what comes in, calls the
+//! The shell: sockets, timers and files round a [`DirectorCore`]. It decides nothing: it stamps what comes in, calls the
 //! desk once a batch, and carries out what the desk says.
 
 use std::collections::HashMap;
@@ -29,13 +29,13 @@
 use tokio_tungstenite::tungstenite::protocol::{CloseFrame, Message, WebSocketConfig};
 use tokio_tungstenite::tungstenite::{Error as WsError, error::CapacityError};
 
-use crate::desk::{Counts, Desk};
-use crate::effect::{Effect, Input, NodeWord};
+use crate::core::{Counts, DirectorCore};
+use crate::effect::{Effect, Input, NodeEvent};
 use crate::following::{Following, Ruling};
-use crate::gate::{Gate, Pass};
 use crate::journal;
 use crate::keeping;
-use crate::roster::{FromRoster, MAX_LINE, RosterList, ToRoster};
+use crate::rate_limiter::{RateDecision, RateLimiter};
+use crate::roster::{MAX_LINE, RosterList, RosterMessage, RosterRequest};
 use crate::store::{load_list, save_list};
 use crate::verify::Verifier;
 
@@ -215,7 +215,7 @@
     book: Arc<Deployment>,
     clock: SlewedClock,
     inputs: mpsc::Sender<Came>,
-    ask: mpsc::UnboundedSender<ToRoster>,
+    ask: mpsc::UnboundedSender<RosterRequest>,
     socks: HashMap<u64, Outbox<Out>>,
     links: HashMap<(u32, u64), Outbox<ToNode>>,
     agreed: Option<Agreed>,
@@ -241,33 +241,35 @@
         now
     }
 
-    fn keep(&mut self, line: &journal::Line) {
+    fn keep(&mut self, line: &journal::JournalEntry) {
         if let Some(to) = &mut self.journal
-            && let Err(e) = journal::write(to, line)
+            && let Err(e) = journal::write_entry(to, line)
         {
             tracing::error!(%e, "the journal cannot be written and ends here");
             self.journal = None;
         }
     }
 
-    fn take(&mut self, desk: &mut Desk, now: f64, (came, input): Came) {
+    fn take(&mut self, desk: &mut DirectorCore, now: f64, (came, input): Came) {
         let waited = came.elapsed().as_secs_f64();
         if self.journal.is_some() {
-            self.keep(&journal::Line::Took { now, waited, input: input.clone() });
+            self.keep(&journal::JournalEntry::Input { now, delay: waited, input: input.clone() });
         }
-        if let Input::Node { node, link, word: NodeWord::Lost | NodeWord::Unreached } = &input {
+        if let Input::Node { node, link, event: NodeEvent::ConnectionLost | NodeEvent::ConnectFailed } =
+            &input
+        {
             self.links.remove(&(*node, *link));
         }
-        desk.take_late(now, waited, input);
+        desk.handle_delayed_input(now, waited, input);
     }
 
     async fn run(
         mut self, mut input: mpsc::Receiver<Came>, mut sock: mpsc::UnboundedReceiver<ToSocks>, seed: u64,
     ) {
         let now = self.now();
-        let mut desk = Desk::new(&self.book, seed, now);
+        let mut desk = DirectorCore::new(&self.book, seed, now);
         let whole = self.agreed.is_some().then(|| Box::new(Deployment::clone(&self.book)));
-        self.keep(&journal::Line::Start { seed, now, book: whole });
+        self.keep(&journal::JournalEntry::Start { seed, now, deployment: whole });
         if let Some(path) = &self.book.roster.cache {
             match load_list(path) {
                 Ok(Some(list)) => {
@@ -282,7 +284,7 @@
         let mut cost = Duration::ZERO;
         let mut told = Instant::now();
         loop {
-            let wait = (desk.wake_at() - self.now()).clamp(0.0, 3600.0);
+            let wait = (desk.next_timer_at() - self.now()).clamp(0.0, 3600.0);
             let due = tokio::time::Instant::now() + Duration::from_secs_f64(wait);
             let first = tokio::select! {
                 biased;
@@ -321,7 +323,7 @@
             desk.round(now, &mut |e| effects.push(e));
             last = Instant::now();
             if self.journal.is_some() {
-                self.keep(&journal::Line::Round { now, effects: effects.clone() });
+                self.keep(&journal::JournalEntry::Round { now, effects: effects.clone() });
             }
             if self.carry_out(effects) {
                 // What was read before this moment is answered too.
@@ -348,7 +350,7 @@
     }
 
     /// Tells the desk what it may act on now: looked at before each round, for we may have stood still.
-    fn rules(&mut self, desk: &mut Desk, now: f64) {
+    fn rules(&mut self, desk: &mut DirectorCore, now: f64) {
         /// s; a lease's end is told again when it moved by more.
         const FINE: f64 = 1e-3;
         let Some(agreed) = &mut self.agreed else { return };
@@ -366,7 +368,7 @@
         }
         if let Some(label) = label {
             let book = Box::new(Deployment::clone(&ruling.book));
-            self.take(desk, now, (Instant::now(), Input::Rules { book, label }));
+            self.take(desk, now, (Instant::now(), Input::Rules { deployment: book, label }));
         }
         if moved {
             // Where nothing may be begun, in the desk's own past: its journal knows no endless numbers.
@@ -396,12 +398,12 @@
                 Effect::Node { node, link, bytes } => {
                     self.tell_node(node, link, ToNode { bytes, leased: None });
                 }
-                Effect::Leased { node, link, name, bytes } => {
+                Effect::Leased { node, link, batch: name, bytes } => {
                     let until = self.agreed.as_ref().map_or(f64::INFINITY, |a| a.lease);
                     self.tell_node(node, link, ToNode { bytes, leased: Some((until, name)) });
                 }
-                Effect::HangUp { node, link } => self.hang_up(node, link),
-                Effect::AskRoster(ask) => {
+                Effect::Disconnect { node, link } => self.hang_up(node, link),
+                Effect::RequestRoster(ask) => {
                     let _ = self.ask.send(ask);
                 }
                 Effect::Keeper(word) => {
@@ -412,8 +414,8 @@
                 Effect::SaveList(list) => {
                     self.save.send_replace(Some(list));
                 }
-                Effect::Note { sess: Some(sess), text } => tracing::debug!(sess, "{text}"),
-                Effect::Note { sess: None, text } => tracing::info!("{text}"),
+                Effect::Log { sess: Some(sess), text } => tracing::debug!(sess, "{text}"),
+                Effect::Log { sess: None, text } => tracing::info!("{text}"),
                 Effect::Fault(why) => tracing::error!(%why, "the decisions report a fault"),
                 Effect::Done => done = true,
             }
@@ -455,7 +457,7 @@
     }
 
     fn say_lost(&mut self, node: u32, link: u64) {
-        self.say(Input::Node { node, link, word: NodeWord::Lost });
+        self.say(Input::Node { node, link, event: NodeEvent::ConnectionLost });
     }
 
     fn dial(&mut self, node: u32, link: u64, address: SocketAddr) {
@@ -495,7 +497,7 @@
                 tokio::select! {
                     Some(news) = sock.recv() => open -= usize::from(matches!(news, ToSocks::Lost(_))),
                     Some((_, news)) = input.recv() => {
-                        open -= usize::from(matches!(news, Input::Node { word: NodeWord::Lost, .. }));
+                        open -= usize::from(matches!(news, Input::Node { event: NodeEvent::ConnectionLost, .. }));
                     }
                     else => return,
                 }
@@ -541,18 +543,18 @@
     node: u32, link: u64, address: SocketAddr, mut from: mpsc::UnboundedReceiver<ToNode>,
     queued: Arc<AtomicUsize>, to: mpsc::Sender<Came>, steady: Option<BootClock>,
 ) {
-    let say = |word| to.send((Instant::now(), Input::Node { node, link, word }));
+    let say = |word| to.send((Instant::now(), Input::Node { node, link, event: word }));
     let stream = match TcpStream::connect(address).await {
         Ok(stream) => stream,
         Err(e) => {
             tracing::info!(node, %e, "not connected");
-            let _ = say(NodeWord::Unreached).await;
+            let _ = say(NodeEvent::ConnectFailed).await;
             return;
         }
     };
     let _ = stream.set_nodelay(true);
     let (mut read, mut write) = stream.into_split();
-    if say(NodeWord::Up).await.is_err() {
+    if say(NodeEvent::Connected).await.is_err() {
         return;
     }
     let reader = async {
@@ -561,7 +563,7 @@
             match kelpdoor_rtsp::parse(&buf) {
                 Ok(Some((message, len))) => {
                     buf.drain(..len);
-                    if say(NodeWord::Said(message)).await.is_err() {
+                    if say(NodeEvent::Received(message)).await.is_err() {
                         return "the director ends".to_owned();
                     }
                     continue;
@@ -582,7 +584,7 @@
             if let Some((_, name)) = leased.filter(|l| over(l.0)) {
                 // We stood still, or it lay behind what the node did not read.
                 queued.fetch_sub(bytes.len(), Ordering::Relaxed);
-                let _ = to.send((Instant::now(), Input::Unsent { node, link, name })).await;
+                let _ = to.send((Instant::now(), Input::Unsent { node, link, batch: name })).await;
                 continue;
             }
             if let Err(e) = write.write_all(&bytes).await {
@@ -598,7 +600,7 @@
         why = writer => why,
     };
     tracing::info!(node, %why, "link lost");
-    let _ = say(NodeWord::Lost).await;
+    let _ = say(NodeEvent::ConnectionLost).await;
 }
 
 async fn accept(
@@ -682,7 +684,7 @@
 }
 
 /// Takes the token out of a message that came with one and says what it is.
-fn show(sock: u64, mut message: FromPlayer, by: Option<(&Verifier, &mut Gate)>) -> Input {
+fn show(sock: u64, mut message: FromPlayer, by: Option<(&Verifier, &mut RateLimiter)>) -> Input {
     let token = match &mut message {
         FromPlayer::Start { group, token, .. } => {
             let token = token.take();
@@ -694,7 +696,7 @@
     match (token, by) {
         (Some(token), Some((verifier, gate))) => {
             let shown = verifier.look(&token, gate);
-            Input::Shown { sock, message, shown }
+            Input::PlayerWithToken { sock, message, check: shown }
         }
         _ => Input::Player { sock, message },
     }
@@ -717,7 +719,7 @@
     }
     let started = Instant::now();
     let reader = async {
-        let mut gate = Gate::new(book.players.messages_a_second, 0.0);
+        let mut gate = RateLimiter::new(book.players.messages_a_second, 0.0);
         let mut tokens = verifier.map(Verifier::socket_gate);
         loop {
             let message = match timeout(idle, stream.next()).await {
@@ -736,10 +738,10 @@
                 let len = text.len();
                 own.put(Out::Text(text), len, limit)
             };
-            match gate.pass(started.elapsed().as_secs_f64()) {
-                Pass::Taken => {}
-                Pass::Closed => return Some((CloseCode::Policy, "too many messages")),
-                Pass::Refused => {
+            match gate.check(started.elapsed().as_secs_f64()) {
+                RateDecision::Accepted => {}
+                RateDecision::Close => return Some((CloseCode::Policy, "too many messages")),
+                RateDecision::Refused => {
                     if !error(ErrorCode::TooFast, "too many messages a second".to_owned()) {
                         return Some((CloseCode::Policy, "too many messages"));
                     }
@@ -824,7 +826,7 @@
 
 /// Follows the roster's feed, connecting again whenever it breaks.
 async fn follow(
-    book: Arc<Deployment>, inputs: mpsc::Sender<Came>, mut asked: mpsc::UnboundedReceiver<ToRoster>,
+    book: Arc<Deployment>, inputs: mpsc::Sender<Came>, mut asked: mpsc::UnboundedReceiver<RosterRequest>,
 ) {
     let mut wait = ROSTER_WAIT.0;
     loop {
@@ -837,7 +839,7 @@
             }
         };
         tracing::warn!(%why, "the roster's feed broke; the last good list stands");
-        if inputs.send((Instant::now(), Input::Roster(FromRoster::Failed))).await.is_err() {
+        if inputs.send((Instant::now(), Input::Roster(RosterMessage::Failed))).await.is_err() {
             return;
         }
         sleep(Duration::from_secs_f64(wait * (0.5 + fastrand::f64()))).await;
@@ -848,10 +850,10 @@
 
 async fn read_roster(
     stream: TcpStream, book: &Deployment, inputs: &mpsc::Sender<Came>,
-    asked: &mut mpsc::UnboundedReceiver<ToRoster>,
+    asked: &mut mpsc::UnboundedReceiver<RosterRequest>,
 ) -> String {
     let (read, mut write) = stream.into_split();
-    let hello = ToRoster::Hello { director: book.director.me };
+    let hello = RosterRequest::Hello { director: book.director.me };
     let mut first = serde_json::to_string(&hello).expect("plain data");
     first.push('\n');
     if let Err(e) = write.write_all(first.as_bytes()).await {
@@ -868,7 +870,7 @@
                 Ok(_) if !line.ends_with(b"\n") => return "a line too long or cut short".to_owned(),
                 Ok(_) => {}
             }
-            match serde_json::from_slice::<FromRoster>(&line) {
+            match serde_json::from_slice::<RosterMessage>(&line) {
                 Err(e) => tracing::warn!(%e, "a line of the roster is passed over"),
                 Ok(message) => {
                     if inputs.send((Instant::now(), Input::Roster(message))).await.is_err() {
--- a/crates/kelpdoor-director/src/verify.rs
+++ b/crates/kelpdoor-director/src/verify.rs
@@ -10,15 +10,15 @@
 use kelpdoor_tokens::{KeySet, TokenRules, verify};
 use tokio::time::sleep;
 
-use crate::effect::Shown;
-use crate::gate::{Gate, Pass};
+use crate::effect::TokenCheck;
+use crate::rate_limiter::{RateDecision, RateLimiter};
 
 pub struct Verifier {
     book: Tokens,
     rules: TokenRules,
     keys: RwLock<Arc<KeySet>>,
     /// Of the whole director: a flood of tokens over many sockets must not take its cores.
-    gate: Mutex<Gate>,
+    gate: Mutex<RateLimiter>,
     from: Instant,
     /// Groups that need a token; others' are not looked at.
     groups: Vec<String>,
@@ -48,7 +48,7 @@
         Ok(Some(Arc::new(Verifier {
             rules,
             keys: RwLock::new(Arc::new(keys)),
-            gate: Mutex::new(Gate::new(tokens.a_second, 0.0)),
+            gate: Mutex::new(RateLimiter::new(tokens.a_second, 0.0)),
             from: Instant::now(),
             groups,
             book: tokens,
@@ -60,23 +60,23 @@
     }
 
     /// The limit of one socket.
-    pub fn socket_gate(&self) -> Gate {
-        Gate::new(self.book.socket_a_second, self.from.elapsed().as_secs_f64())
+    pub fn socket_gate(&self) -> RateLimiter {
+        RateLimiter::new(self.book.socket_a_second, self.from.elapsed().as_secs_f64())
     }
 
     /// Verifies a token, within the limits of its socket and of the director.
-    pub fn look(&self, token: &str, socket: &mut Gate) -> Shown {
+    pub fn look(&self, token: &str, socket: &mut RateLimiter) -> TokenCheck {
         let at = self.from.elapsed().as_secs_f64();
         let mut all = self.gate.lock().unwrap_or_else(PoisonError::into_inner);
-        if socket.pass(at) != Pass::Taken || all.pass(at) != Pass::Taken {
-            return Shown::TooFast;
+        if socket.check(at) != RateDecision::Accepted || all.check(at) != RateDecision::Accepted {
+            return TokenCheck::TooFast;
         }
         drop(all);
         let keys = self.keys.read().unwrap_or_else(PoisonError::into_inner).clone();
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64());
         match verify(token, &keys, &self.rules, now) {
-            Ok(e) => Shown::Good(Box::new(e)),
-            Err(why) => Shown::Bad(why.to_string()),
+            Ok(e) => TokenCheck::Valid(Box::new(e)),
+            Err(why) => TokenCheck::Refused(why.to_string()),
         }
     }
 
--- a/crates/kelpdoor-director/tests/common/mod.rs
+++ b/crates/kelpdoor-director/tests/common/mod.rs
@@ -2,7 +2,9 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use kelpdoor_api::{FromPlayer, RequestKey, ToPlayer};
-use kelpdoor_director::{Desk, Effect, FromRoster, Input, NodeWord, Phase, RosterNode, RosterTitle};
+use kelpdoor_director::{
+    DirectorCore, Effect, Input, NodeEvent, Phase, RosterMessage, RosterNode, RosterTitle,
+};
 use kelpdoor_rtsp::{Message, Request, Response};
 use kelpdoor_script::Deployment;
 
@@ -42,9 +44,9 @@
     }
 }
 
-pub fn roster() -> FromRoster {
+pub fn roster() -> RosterMessage {
     let titles = (0..6).map(|k| RosterTitle { name: format!("t{k}"), first_cell: k, cells: 3 });
-    FromRoster::Whole {
+    RosterMessage::Whole {
         version: 1,
         nodes: (0..6).map(|id| listed(id, Phase::Ready)).collect(),
         titles: titles.collect(),
@@ -52,14 +54,14 @@
 }
 
 pub struct Bench {
-    pub desk: Desk,
+    pub desk: DirectorCore,
     pub now: f64,
     pub version: u64,
 }
 
 impl Bench {
     pub fn new(book: &Deployment, seed: u64) -> Self {
-        Bench { desk: Desk::new(book, seed, START), now: START, version: 1 }
+        Bench { desk: DirectorCore::new(book, seed, START), now: START, version: 1 }
     }
 
     pub fn round(&mut self) -> Vec<Effect> {
@@ -69,13 +71,13 @@
     }
 
     pub fn input(&mut self, input: Input) -> Vec<Effect> {
-        self.desk.take(self.now, input);
+        self.desk.handle_input(self.now, input);
         self.round()
     }
 
     /// The next round that the desk asks for, if it is due before `end`.
     pub fn wake_before(&mut self, end: f64) -> Option<Vec<Effect>> {
-        let at = self.desk.wake_at().max(self.now);
+        let at = self.desk.next_timer_at().max(self.now);
         if at >= end {
             return None;
         }
@@ -94,9 +96,9 @@
         all
     }
 
-    pub fn change(&mut self, node: u32, phase: Phase) -> FromRoster {
+    pub fn change(&mut self, node: u32, phase: Phase) -> RosterMessage {
         self.version += 1;
-        FromRoster::Change { version: self.version, nodes: vec![listed(node, phase)], titles: Vec::new() }
+        RosterMessage::Change { version: self.version, nodes: vec![listed(node, phase)], titles: Vec::new() }
     }
 
     /// Connects all that is dialled.
@@ -105,7 +107,10 @@
         for effect in effects {
             if let Effect::Dial { node, link, .. } = effect {
                 up.push((*node, *link));
-                self.desk.take(self.now, Input::Node { node: *node, link: *link, word: NodeWord::Up });
+                self.desk.handle_input(
+                    self.now,
+                    Input::Node { node: *node, link: *link, event: NodeEvent::Connected },
+                );
             }
         }
         self.round();
@@ -117,7 +122,7 @@
     }
 
     pub fn says(&mut self, node: u32, link: u64, message: impl Into<Message>) -> Vec<Effect> {
-        self.input(Input::Node { node, link, word: NodeWord::Said(message.into()) })
+        self.input(Input::Node { node, link, event: NodeEvent::Received(message.into()) })
     }
 }
 
--- a/crates/kelpdoor-director/tests/desk.rs
+++ b/crates/kelpdoor-director/tests/desk.rs
@@ -8,7 +8,7 @@
 
 use common::{Bench, book, roster};
 use kelpdoor_api::{FromPlayer, RequestKey, ToPlayer};
-use kelpdoor_director::{Effect, Input, NodeWord, Phase, Shown};
+use kelpdoor_director::{Effect, Input, NodeEvent, Phase, TokenCheck};
 use kelpdoor_rtsp::{Message, Method, Response, header_names};
 use kelpdoor_seats::{KeeperRequest, LeaseTerms, Ledger, School, TokenId};
 use kelpdoor_tokens::Entitlement;
@@ -174,7 +174,9 @@
         let mut unsent = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Leased { node, link, name: pipe, .. } if self.slow => unsent.push((node, link, pipe)),
+                Effect::Leased { node, link, batch: pipe, .. } if self.slow => {
+                    unsent.push((node, link, pipe))
+                }
                 Effect::Leased { node, link, bytes, .. } => {
                     assert!(self.lease.is_some_and(|until| now < until), "a SETUP without a lease");
                     assert!(self.up.contains(&(node, link)), "bytes for a link that is not up");
@@ -202,7 +204,7 @@
                     }
                 }
                 Effect::Dial { node, link, .. } => self.dials.push((node, link)),
-                Effect::HangUp { node, link } => self.gone(node, link),
+                Effect::Disconnect { node, link } => self.gone(node, link),
                 Effect::Node { node, link, bytes } => {
                     assert!(self.up.contains(&(node, link)), "bytes for a link that is not up");
                     let mut rest = &bytes[..];
@@ -216,14 +218,14 @@
                 Effect::Done => {
                     // Whoever carries effects out ends here.
                     self.done = true;
-                    assert_eq!(self.bench.desk.counts().owed, 0, "done, with answers owed");
+                    assert_eq!(self.bench.desk.counts().pending, 0, "done, with answers owed");
                 }
                 Effect::Keeper(word) => self.words.push(word),
-                Effect::AskRoster(_) | Effect::SaveList(_) | Effect::Note { .. } => {}
+                Effect::RequestRoster(_) | Effect::SaveList(_) | Effect::Log { .. } => {}
             }
         }
         for (node, link, pipe) in unsent {
-            self.input(Input::Unsent { node, link, name: pipe });
+            self.input(Input::Unsent { node, link, batch: pipe });
         }
     }
 
@@ -327,7 +329,7 @@
             }
             Step::Ticket { key, token, lasts, renew } => {
                 let name = self.key(key);
-                let shown = Shown::Good(Box::new(Entitlement {
+                let check = TokenCheck::Valid(Box::new(Entitlement {
                     school: School("olaf".into()),
                     token: TokenId(format!("t{token}")),
                     group: None,
@@ -336,7 +338,7 @@
                 let key = RequestKey(name.clone());
                 if renew {
                     let message = FromPlayer::Renew { key, token: String::new() };
-                    return self.input(Input::Shown { sock: 0, message, shown });
+                    return self.input(Input::PlayerWithToken { sock: 0, message, check });
                 }
                 let due = self.bench.now + 1.0;
                 let seen = self.seen.entry(name.clone()).or_default();
@@ -355,7 +357,7 @@
                 if let FromPlayer::Start { setup_timeout, .. } = &mut message {
                     *setup_timeout = 1.0;
                 }
-                self.input(Input::Shown { sock: 0, message, shown });
+                self.input(Input::PlayerWithToken { sock: 0, message, check });
             }
             Step::Lease { tenths, strict } => {
                 let until = self.bench.now + f64::from(tenths) / 10.0;
@@ -363,7 +365,7 @@
                 self.floor = if strict { 2 } else { 0 };
                 let mut book = book();
                 book.groups.iter_mut().filter(|_| strict).for_each(|g| (g.floor, g.seats) = (2, 1));
-                self.input(Input::Rules { book: Box::new(book), label: "1/ab".into() });
+                self.input(Input::Rules { deployment: Box::new(book), label: "1/ab".into() });
                 self.input(Input::Lease { until });
             }
             Step::Outbox { slow } => self.slow = slow,
@@ -393,15 +395,16 @@
                     r = r.with(header_names::ASKED, "link=0.7");
                 }
                 for _ in 0..1 + usize::from(twice) {
-                    let word = NodeWord::Said(r.clone().into());
-                    self.input(Input::Node { node, link, word });
+                    let event = NodeEvent::Received(r.clone().into());
+                    self.input(Input::Node { node, link, event });
                 }
             }
             Step::Stray { node, cseq } => {
                 if let Some(&(node, link)) = self.up.iter().find(|(n, _)| *n == u32::from(node)) {
-                    let word =
-                        NodeWord::Said(Response::new(200, cseq).with(header_names::SESSION, "s9999").into());
-                    self.input(Input::Node { node, link, word });
+                    let event = NodeEvent::Received(
+                        Response::new(200, cseq).with(header_names::SESSION, "s9999").into(),
+                    );
+                    self.input(Input::Node { node, link, event });
                 }
             }
             Step::Notice { which, reason } => {
@@ -419,23 +422,23 @@
                     .with(header_names::NOTIFY_REASON, reasons[usize::from(reason)])
                     .with(header_names::DELIVERED, "0.7")
                     .with(header_names::ASKED, "link=1.3");
-                self.input(Input::Node { node, link, word: NodeWord::Said(r.into()) });
+                self.input(Input::Node { node, link, event: NodeEvent::Received(r.into()) });
             }
             Step::Connect { which, works } => {
                 if self.dials.is_empty() {
                     return;
                 }
                 let (node, link) = self.dials.remove(usize::from(which) % self.dials.len());
-                let word = if works { NodeWord::Up } else { NodeWord::Unreached };
+                let event = if works { NodeEvent::Connected } else { NodeEvent::ConnectFailed };
                 if works {
                     self.up.insert((node, link));
                 }
-                self.input(Input::Node { node, link, word });
+                self.input(Input::Node { node, link, event });
             }
             Step::Lose { node } => {
                 if let Some(&(node, link)) = self.up.iter().find(|(n, _)| *n == u32::from(node)) {
                     self.gone(node, link);
-                    self.input(Input::Node { node, link, word: NodeWord::Lost });
+                    self.input(Input::Node { node, link, event: NodeEvent::ConnectionLost });
                 }
             }
             Step::List { node, phase } => {
@@ -495,7 +498,7 @@
         peers.wait(120.0);
         peers.judge();
         let counts = peers.bench.desk.counts();
-        prop_assert_eq!((counts.owed, counts.playing, counts.known), (0, 0, 0), "left: {:?}", counts);
+        prop_assert_eq!((counts.pending, counts.playing, counts.known), (0, 0, 0), "left: {:?}", counts);
         prop_assert!(counts.timers < 60, "timers left: {:?}", counts);
         let now = peers.bench.now;
         peers.ledger.expire(now);
@@ -540,7 +543,7 @@
         let mut bench = common::Bench::new(&book(), 1);
         let up = bench.input(Input::Roster(common::roster()));
         bench.connect(&up);
-        bench.input(Input::Rules { book: Box::new(other), label: "1/ab".into() });
+        bench.input(Input::Rules { deployment: Box::new(other), label: "1/ab".into() });
         let mut met = std::collections::BTreeSet::new();
         let mut answered = 0;
         for k in 0..24 {
--- a/crates/kelpdoor-director/tests/seats.rs
+++ b/crates/kelpdoor-director/tests/seats.rs
@@ -6,7 +6,7 @@
 use common::{Bench, book, ok, requests, roster, start, told};
 use expect_test::{Expect, expect};
 use kelpdoor_api::{FromPlayer, RequestKey};
-use kelpdoor_director::{Effect, Input, Shown};
+use kelpdoor_director::{Effect, Input, TokenCheck};
 use kelpdoor_rtsp::{Method, header_names};
 use kelpdoor_seats::{DirectorId, Epoch, KeeperRequest, KeeperResponse, LeaseTerms, Ledger, School, TokenId};
 use kelpdoor_tokens::Entitlement;
@@ -88,8 +88,8 @@
         self.bench.now = end;
     }
 
-    fn good(&self, token: &str, lasts: f64) -> Shown {
-        Shown::Good(Box::new(Entitlement {
+    fn good(&self, token: &str, lasts: f64) -> TokenCheck {
+        TokenCheck::Valid(Box::new(Entitlement {
             school: School("olaf".into()),
             token: TokenId(token.into()),
             group: None,
@@ -97,14 +97,15 @@
         }))
     }
 
-    fn start(&mut self, key: &str, shown: Shown) {
-        let effects = self.bench.input(Input::Shown { sock: 1, message: start(key, "ticket", "t1"), shown });
+    fn start(&mut self, key: &str, check: TokenCheck) {
+        let effects =
+            self.bench.input(Input::PlayerWithToken { sock: 1, message: start(key, "ticket", "t1"), check });
         self.done(effects);
     }
 
-    fn renew(&mut self, key: &str, shown: Shown) {
+    fn renew(&mut self, key: &str, check: TokenCheck) {
         let message = FromPlayer::Renew { key: RequestKey(key.into()), token: String::new() };
-        let effects = self.bench.input(Input::Shown { sock: 1, message, shown });
+        let effects = self.bench.input(Input::PlayerWithToken { sock: 1, message, check });
         self.done(effects);
     }
 
@@ -125,7 +126,7 @@
     hall.wait(4.0);
     hall.renew("key-00001", hall.good("a", 4.0));
     hall.renew("key-00001", hall.good("b", 9.0));
-    hall.renew("key-00001", Shown::Bad("the token expired 3 s ago: ask for a new one".into()));
+    hall.renew("key-00001", TokenCheck::Refused("the token expired 3 s ago: ask for a new one".into()));
     hall.wait(6.0);
     hall.show(expect![[r#"
             SETUP key-00001
@@ -177,11 +178,11 @@
     for (k, token) in ["a", "b", "c"].into_iter().enumerate() {
         hall.start(&format!("key-0000{k}"), hall.good(token, 30.0));
     }
-    hall.start("key-00010", Shown::Nothing);
-    hall.start("key-00011", Shown::Bad("the token expired 3 s ago: ask for a new one".into()));
-    hall.start("key-00012", Shown::TooFast);
+    hall.start("key-00010", TokenCheck::Missing);
+    hall.start("key-00011", TokenCheck::Refused("the token expired 3 s ago: ask for a new one".into()));
+    hall.start("key-00012", TokenCheck::TooFast);
     // A retry of a request that plays is no new one, whatever became of its token.
-    hall.start("key-00000", Shown::Bad("the token expired 3 s ago: ask for a new one".into()));
+    hall.start("key-00000", TokenCheck::Refused("the token expired 3 s ago: ask for a new one".into()));
     hall.show(expect![[r#"
             SETUP key-00000
         6.0 1 < {"key":"key-00000","resume_for":5.0,"rung":1,"type":"playing","uri":"rtsp://127.0.0.1:7001/t1"}
--- a/crates/kelpdoor-director/tests/story.rs
+++ b/crates/kelpdoor-director/tests/story.rs
@@ -5,7 +5,7 @@
 use common::{Bench, book, finals, listed, ok, requests, roster, told};
 use expect_test::{Expect, expect};
 use kelpdoor_api::{FromPlayer, RequestKey, ToPlayer};
-use kelpdoor_director::{Desk, Effect, FromRoster, Input, NodeWord, Phase, RosterList, journal};
+use kelpdoor_director::{DirectorCore, Effect, Input, NodeEvent, Phase, RosterList, RosterMessage, journal};
 use kelpdoor_rtsp::{Method, Request, Response, header_names, notify_reasons};
 
 /// What goes to nodes and players, a line each.
@@ -142,7 +142,7 @@
     let effects = bench.start(1, "key-00001", "paid", "t0");
     let (node, link, ..) = asked(&effects);
     trace(
-        &bench.input(Input::Node { node, link, word: NodeWord::Lost }),
+        &bench.input(Input::Node { node, link, event: NodeEvent::ConnectionLost }),
         expect![[r#"1 < {"key":"key-00001","type":"failed","why":"no_answer"}"#]],
     );
     // Turned away without a look is proof.
@@ -159,7 +159,7 @@
 #[test]
 fn what_has_not_gone_out_to_a_draining_node_does_not_go_out_any_more() {
     let mut bench = Bench::new(&book(), 1);
-    let one = FromRoster::Whole {
+    let one = RosterMessage::Whole {
         version: 1,
         nodes: vec![listed(0, Phase::Ready)],
         titles: vec![kelpdoor_director::RosterTitle { name: "t0".into(), first_cell: 0, cells: 1 }],
@@ -190,7 +190,7 @@
     }
     let (node, link) = at[0];
     let here = at.iter().filter(|a| **a == (node, link)).count();
-    let effects = bench.input(Input::Node { node, link, word: NodeWord::Lost });
+    let effects = bench.input(Input::Node { node, link, event: NodeEvent::ConnectionLost });
     let ended = told(&effects).iter().filter(|l| l.contains("node_lost")).count();
     assert_eq!((ended, bench.desk.counts().playing), (here, 6 - here));
 }
@@ -227,13 +227,13 @@
     // The process stands still for 20 s: no link dies for it.
     bench.now += 20.0;
     let effects = bench.round();
-    assert!(!effects.iter().any(|e| matches!(e, Effect::HangUp { .. })), "{effects:?}");
+    assert!(!effects.iter().any(|e| matches!(e, Effect::Disconnect { .. })), "{effects:?}");
     // Then the node says nothing more.
     let effects = bench.wait(14.0);
     let probes =
         requests(&effects).iter().filter(|r| r.0 == node && r.2.method == Method::GetParameter).count();
     assert!(probes >= 1);
-    assert!(effects.iter().any(|e| matches!(e, Effect::HangUp { node: n, .. } if *n == node)));
+    assert!(effects.iter().any(|e| matches!(e, Effect::Disconnect { node: n, .. } if *n == node)));
     assert!(told(&effects).iter().any(|l| l.contains("node_lost")));
 }
 
@@ -244,9 +244,9 @@
     let (node, link, setup, play) = asked(&effects);
     bench.now += 5.0;
     // All that came is taken in before time-outs fire.
-    let said = |r: Response| Input::Node { node, link, word: NodeWord::Said(r.into()) };
-    bench.desk.take(bench.now, said(ok(&setup).with(header_names::SESSION, "s1")));
-    bench.desk.take(bench.now, said(ok(&play).with(header_names::SESSION, "s1")));
+    let said = |r: Response| Input::Node { node, link, event: NodeEvent::Received(r.into()) };
+    bench.desk.handle_input(bench.now, said(ok(&setup).with(header_names::SESSION, "s1")));
+    bench.desk.handle_input(bench.now, said(ok(&play).with(header_names::SESSION, "s1")));
     let effects = bench.round();
     assert!(finals(&effects).iter().all(|f| !matches!(f, ToPlayer::Playing { .. })), "{effects:?}");
     assert_eq!((finals(&effects).len(), bench.desk.counts().playing), (1, 0));
@@ -273,16 +273,16 @@
     let mut bench = up(1);
     let mut node = listed(3, Phase::Ready);
     node.zone = "north".into();
-    let bad = FromRoster::Whole { version: 9, nodes: vec![node], titles: Vec::new() };
+    let bad = RosterMessage::Whole { version: 9, nodes: vec![node], titles: Vec::new() };
     let effects = bench.input(Input::Roster(bad));
-    expect![[r#"[Note { sess: None, text: "roster: node 3: zone \"north\" is not in the settings; the last good list stands" }]"#]].assert_eq(&format!("{effects:?}"));
+    expect![[r#"[Log { sess: None, text: "roster: node 3: zone \"north\" is not in the settings; the last good list stands" }]"#]].assert_eq(&format!("{effects:?}"));
     assert!(bench.start(1, "key-00001", "any", "t0").iter().any(|e| matches!(e, Effect::Node { .. })));
 }
 
 #[test]
 fn a_director_starts_from_its_kept_list() {
     let mut list = RosterList::default();
-    list.take(&roster(), &book().fleet).expect("good");
+    list.apply(&roster(), &book().fleet).expect("good");
     let mut bench = Bench::new(&book(), 1);
     let effects = bench.input(Input::Cached(list));
     bench.connect(&effects);
@@ -318,28 +318,28 @@
 #[test]
 fn a_journal_replays_to_the_same_effects_and_shows_a_difference() {
     let (seed, now) = (7, common::START);
-    let mut desk = Desk::new(&book(), seed, now);
-    let mut lines = vec![journal::Line::Start { seed, now, book: None }];
+    let mut desk = DirectorCore::new(&book(), seed, now);
+    let mut lines = vec![journal::JournalEntry::Start { seed, now, deployment: None }];
     let message = common::start("key-00001", "any", "t0");
     let inputs = [Input::Roster(roster()), Input::Player { sock: 1, message }, Input::ShutDown];
     for (k, input) in inputs.into_iter().enumerate() {
         let now = now + 0.37 * k as f64;
-        lines.push(journal::Line::Took { now, waited: 0.0, input: input.clone() });
-        desk.take(now, input);
+        lines.push(journal::JournalEntry::Input { now, delay: 0.0, input: input.clone() });
+        desk.handle_input(now, input);
         let mut effects = Vec::new();
         desk.round(now, &mut |e| effects.push(e));
-        lines.push(journal::Line::Round { now, effects });
+        lines.push(journal::JournalEntry::Round { now, effects });
     }
-    let text = |lines: &[journal::Line]| {
+    let text = |lines: &[journal::JournalEntry]| {
         let mut out = Vec::new();
-        lines.iter().for_each(|l| journal::write(&mut out, l).expect("written"));
+        lines.iter().for_each(|l| journal::write_entry(&mut out, l).expect("written"));
         out
     };
     let done = journal::replay(&text(&lines)[..], Some(&book())).expect("readable");
-    assert_eq!((done.inputs, done.rounds, done.differs), (3, 3, None));
+    assert_eq!((done.inputs, done.rounds, done.first_difference), (3, 3, None));
     lines.remove(3);
     let done = journal::replay(&text(&lines)[..], Some(&book())).expect("readable");
-    assert!(done.differs.is_some());
+    assert!(done.first_difference.is_some());
 }
 
 #[test]
@@ -394,12 +394,12 @@
 fn what_lay_in_line_is_late_by_as_much() {
     let mut bench = up(1);
     let player = |key: &str| Input::Player { sock: 1, message: common::start(key, "any", "t0") };
-    bench.desk.take_late(bench.now, 2.5, player("key-00001"));
+    bench.desk.handle_delayed_input(bench.now, 2.5, player("key-00001"));
     bench.round();
     // 3 s less the 2.5 that it lay there, less the way back.
     let effects = bench.wait(0.45);
     assert_eq!(finals(&effects).len(), 1, "{effects:?}");
-    bench.desk.take_late(bench.now, 3.5, player("key-00002"));
+    bench.desk.handle_delayed_input(bench.now, 3.5, player("key-00002"));
     trace(&bench.round(), expect![[r#"1 < {"come_back":2.0,"key":"key-00002","type":"busy"}"#]]);
 }
 
@@ -425,9 +425,9 @@
 #[test]
 fn a_change_that_is_refused_has_the_whole_list_asked_for() {
     let mut bench = up(1);
-    let stale = FromRoster::Change { version: 1, nodes: Vec::new(), titles: Vec::new() };
+    let stale = RosterMessage::Change { version: 1, nodes: Vec::new(), titles: Vec::new() };
     let effects = bench.input(Input::Roster(stale));
-    assert!(effects.contains(&Effect::AskRoster(kelpdoor_director::ToRoster::Whole)), "{effects:?}");
+    assert!(effects.contains(&Effect::RequestRoster(kelpdoor_director::RosterRequest::Whole)), "{effects:?}");
 }
 
 #[test]
@@ -438,9 +438,9 @@
     let dial = |e: &Effect| if let Effect::Dial { node, link, .. } = e { Some((*node, *link)) } else { None };
     let (near, far): (Vec<_>, Vec<_>) = effects.iter().filter_map(dial).partition(|(node, _)| *node < 3);
     for (node, link) in near {
-        bench.input(Input::Node { node, link, word: NodeWord::Up });
+        bench.input(Input::Node { node, link, event: NodeEvent::Connected });
     }
-    bench.input(Input::Rules { book: Box::new(book()), label: "4/ab".into() });
+    bench.input(Input::Rules { deployment: Box::new(book()), label: "4/ab".into() });
     let lease = |bench: &mut Bench, seconds: f64| {
         let until = bench.now + seconds;
         bench.input(Input::Lease { until })
@@ -461,7 +461,7 @@
     bench.wait(0.11);
     let mut effects = bench.start(1, "key-00003", "any", "t0");
     for (node, link) in far {
-        effects.extend(bench.input(Input::Node { node, link, word: NodeWord::Up }));
+        effects.extend(bench.input(Input::Node { node, link, event: NodeEvent::Connected }));
     }
     assert_eq!(setups(&effects), 0, "nothing leaves: {effects:?}");
     let busy = |key: &str| format!(r#"{{"come_back":2.0,"key":"{key}","type":"busy"}}"#);
@@ -470,12 +470,12 @@
     lease(&mut bench, 1.0);
     let effects = bench.start(1, "key-00004", "any", "t0");
     let sent = |effects: &[Effect]| match effects.iter().find(|e| matches!(e, Effect::Leased { .. })) {
-        Some(Effect::Leased { node, link, name: pipe, .. }) => (*node, *link, *pipe),
+        Some(Effect::Leased { node, link, batch: pipe, .. }) => (*node, *link, *pipe),
         _ => panic!("a SETUP goes out: {effects:?}"),
     };
     let (node, link, pipe) = sent(&effects);
     let out = bench.desk.counts().requests_out;
-    let effects = bench.input(Input::Unsent { node, link, name: pipe });
+    let effects = bench.input(Input::Unsent { node, link, batch: pipe });
     assert_eq!(answers(&effects), [busy("key-00004")]);
     assert_eq!(bench.desk.counts().requests_out, out - 2);
     // Nor if its viewer has stopped it meanwhile, when its end alone is still waited for.
@@ -483,7 +483,7 @@
     let effects = bench.start(1, "key-00005", "any", "t0");
     let (node, link, pipe) = sent(&effects);
     bench.input(Input::Player { sock: 1, message: FromPlayer::Stop { key: RequestKey("key-00005".into()) } });
-    let effects = bench.input(Input::Unsent { node, link, name: pipe });
+    let effects = bench.input(Input::Unsent { node, link, batch: pipe });
     assert_eq!(answers(&effects), [""; 0]);
     assert_eq!(bench.desk.counts().requests_out, out + 1, "its TEARDOWN");
 }
@@ -491,7 +491,7 @@
 #[test]
 fn a_change_of_rung_that_did_not_leave_in_time_is_not_in_force() {
     let mut bench = up(1);
-    bench.input(Input::Rules { book: Box::new(book()), label: "4/ab".into() });
+    bench.input(Input::Rules { deployment: Box::new(book()), label: "4/ab".into() });
     bench.input(Input::Lease { until: bench.now + 100.0 });
     let effects = bench.start(1, "key-00001", "any", "t0");
     let (node, link, setup, play) = asked(&effects);
@@ -502,20 +502,20 @@
     let leased: Vec<(u32, u64, u64)> = effects
         .iter()
         .filter_map(|e| match e {
-            Effect::Leased { node, link, name, bytes } => {
+            Effect::Leased { node, link, batch, bytes } => {
                 assert!(bytes.starts_with(b"SET_PARAMETER "), "{}", String::from_utf8_lossy(bytes));
-                Some((*node, *link, *name))
+                Some((*node, *link, *batch))
             }
             _ => None,
         })
         .collect();
-    let [(node, link, name)] = leased[..] else { panic!("one rise: {effects:?}") };
+    let [(node, link, batch)] = leased[..] else { panic!("one rise: {effects:?}") };
     let out = bench.desk.counts().requests_out;
     trace(
-        &bench.input(Input::Unsent { node, link, name }),
+        &bench.input(Input::Unsent { node, link, batch }),
         expect![[r#"1 < {"key":"key-00001","rung":1,"type":"rung"}"#]],
     );
     assert_eq!(bench.desk.counts().requests_out, out - 1, "nothing is waited for");
     // Given back twice, or by an older link: nothing.
-    assert!(bench.input(Input::Unsent { node, link, name }).is_empty());
+    assert!(bench.input(Input::Unsent { node, link, batch }).is_empty());
 }
--- a/crates/kelpdoor-lab/src/relay.rs
+++ b/crates/kelpdoor-lab/src/relay.rs
@@ -9,7 +9,7 @@
 use fastrand::Rng;
 use futures_util::{SinkExt, StreamExt};
 use kelpdoor_api::{EndReason, FromPlayer, RequestKey, SUBPROTOCOL, ToPlayer};
-use kelpdoor_director::{FromRoster, RosterList, ToRoster};
+use kelpdoor_director::{RosterList, RosterMessage, RosterRequest};
 use kelpdoor_rtsp::{Message, Method, Request, header_names, parse};
 use kelpdoor_script::Deployment;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -45,12 +45,12 @@
     let shared: Shared = Arc::default();
     let stream = TcpStream::connect(book.roster.address).await.context("the roster")?;
     let (read, mut write) = stream.into_split();
-    let hello = serde_json::to_string(&ToRoster::Hello { director: 0 })? + "\n";
+    let hello = serde_json::to_string(&RosterRequest::Hello { director: 0 })? + "\n";
     write.write_all(hello.as_bytes()).await?;
     let mut lines = BufReader::new(read).lines();
     let first = lines.next_line().await?.context("no list")?;
-    let whole: FromRoster = serde_json::from_str(&first)?;
-    lock(&shared).list.take(&whole, &book.fleet)?;
+    let whole: RosterMessage = serde_json::from_str(&first)?;
+    lock(&shared).list.apply(&whole, &book.fleet)?;
     let nodes: Vec<_> = lock(&shared).list.nodes.values().cloned().collect();
     for n in nodes {
         let stream = TcpStream::connect(n.address).await?;
--- a/crates/kelpdoor-lab/src/roster.rs
+++ b/crates/kelpdoor-lab/src/roster.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use kelpdoor_director::{FromRoster, Phase, RosterNode, RosterTitle, ToRoster};
+use kelpdoor_director::{Phase, RosterMessage, RosterNode, RosterRequest, RosterTitle};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -82,7 +82,7 @@
         (from + due, s.log.get(from + due).map(|(at, _)| at - t))
     }
 
-    fn whole(&self, upto: usize) -> FromRoster {
+    fn whole(&self, upto: usize) -> RosterMessage {
         let s = self.state.lock().unwrap_or_else(|e| e.into_inner());
         let mut nodes = std::collections::BTreeMap::new();
         for (_, n) in &s.log[..upto] {
@@ -92,21 +92,21 @@
                 nodes.insert(n.id, n.clone());
             }
         }
-        FromRoster::Whole {
+        RosterMessage::Whole {
             version: upto as u64,
             nodes: nodes.into_values().collect(),
             titles: s.titles.clone(),
         }
     }
 
-    fn change(&self, from: usize, to: usize) -> FromRoster {
+    fn change(&self, from: usize, to: usize) -> RosterMessage {
         let s = self.state.lock().unwrap_or_else(|e| e.into_inner());
         // The last word on each node.
         let mut nodes = std::collections::BTreeMap::new();
         s.log[from..to].iter().for_each(|(_, n)| {
             nodes.insert(n.id, n.clone());
         });
-        FromRoster::Change { version: to as u64, nodes: nodes.into_values().collect(), titles: Vec::new() }
+        RosterMessage::Change { version: to as u64, nodes: nodes.into_values().collect(), titles: Vec::new() }
     }
 
     async fn feed(self, stream: TcpStream) {
@@ -114,7 +114,7 @@
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
         let Ok(Some(first)) = lines.next_line().await else { return };
-        let Ok(ToRoster::Hello { director }) = serde_json::from_str(&first) else { return };
+        let Ok(RosterRequest::Hello { director }) = serde_json::from_str(&first) else { return };
         let mut changed = self.changed.subscribe();
         let (mut at, _) = self.due(0);
         let mut message = Some(self.whole(at));
@@ -139,7 +139,7 @@
                 () = tokio::time::sleep(wait) => {}
                 line = lines.next_line() => match line {
                     Ok(Some(text)) => match serde_json::from_str(&text) {
-                        Ok(ToRoster::Whole) => message = Some(self.whole(at)),
+                        Ok(RosterRequest::Whole) => message = Some(self.whole(at)),
                         Ok(_) => {}
                         Err(_) => return,
                     },
--- a/crates/kelpdoor-lab/src/scale/sessions.rs
+++ b/crates/kelpdoor-lab/src/scale/sessions.rs
@@ -15,7 +15,7 @@
 use anyhow::{Context, Result, bail, ensure};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
-use kelpdoor_director::{RosterTitle, ToRoster};
+use kelpdoor_director::{RosterRequest, RosterTitle};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::runtime::Builder;
@@ -231,7 +231,7 @@
     /// Bytes of the roster's whole list, as the director is told it.
     async fn list_bytes(&self) -> Result<f64> {
         let mut stream = TcpStream::connect(self.world.roster_at).await?;
-        let mut hello = serde_json::to_string(&ToRoster::Hello { director: 9999 })?;
+        let mut hello = serde_json::to_string(&RosterRequest::Hello { director: 9999 })?;
         hello.push('\n');
         stream.write_all(hello.as_bytes()).await?;
         let mut line = Vec::new();
--- a/crates/kelpdoor-lab/tests/sockets.rs
+++ b/crates/kelpdoor-lab/tests/sockets.rs
@@ -355,6 +355,6 @@
         let book = Deployment::read(&settings).expect("good settings");
         let done = journal::replay(BufReader::new(std::fs::File::open(kept).unwrap()), Some(&book)).unwrap();
         assert!(done.inputs > 100 && done.effects > 100, "{done:?}");
-        assert_eq!(done.differs, None);
+        assert_eq!(done.first_difference, None);
     }
 }
--- a/crates/kelpdoord/src/lib.rs
+++ b/crates/kelpdoord/src/lib.rs
@@ -367,7 +367,7 @@
     }
     let counts = running.counts();
     tracing::info!(
-        owed = counts.owed,
+        owed = counts.pending,
         playing = counts.playing,
         "shutting down; a second signal ends at once"
     );
@@ -463,7 +463,7 @@
             let file = File::open(&journal).with_context(|| journal.display().to_string())?;
             let done = journal::replay(BufReader::new(file), deployment.as_ref())?;
             println!("{} inputs, {} rounds, {} effects", done.inputs, done.rounds, done.effects);
-            match done.differs {
+            match done.first_difference {
                 None => Ok(()),
                 Some((line, what)) => bail!("line {line}: {what}"),
             }
