--- a/crates/kelpdoor-director/src/core.rs
+++ b/crates/kelpdoor-director/src/core.rs
@@ -1,9 +1,10 @@
-//! The desk: what came in becomes a round of the decisions, their orders become effects. No I/O and no clock:
-//! times are passed in, in seconds; the same inputs at the same times give the same effects.
+//! The core of a director: inputs become rounds of the placement logic, whose orders become effects. The core does no
+//! I/O and reads no clock. The caller passes times in, in seconds; the same inputs at the same times give the same
+//! effects.
 //!
-//! A session belongs to the desk from the moment its request is read whole to its one final answer. Limits, each
-//! with its answer when reached: sessions held (`busy`), requests out to a node (its link is closed), remembered
-//! answers (the oldest are forgotten).
+//! The core is responsible for a request from the moment it is read completely until its one final answer. Limits, and
+//! what happens when each is reached: active sessions (a new request is answered `busy`), outstanding requests to a
+//! node (its link is closed), remembered answers (the oldest are forgotten).
 
 mod seats;
 
@@ -24,497 +25,516 @@
 use kelpdoor_tokens::Entitlement;
 
 use crate::effect::{Effect, Input, NodeEvent, TokenCheck};
-use crate::link::{Asked, Line, Link};
+use crate::link::{ConnectionState, Link, RequestPurpose};
 use crate::roster::{Phase, RosterList, RosterMessage, RosterNode, RosterRequest, RosterTitle};
 use crate::session::{Attempt, Session, Stage};
 use crate::timers::{Timer, Timers};
 
-/// Requests out to one node at most; over it the peer is taken for dead.
-const MAX_OUT: usize = 50_000;
-/// Times the sessions limit; answers remembered for retries at most.
-const REMEMBERED: usize = 2;
-/// s; a TEARDOWN without an answer counts as done after this.
-const TEARDOWN_WAIT: f64 = 2.0;
-/// s; with less left to its player a request is not begun any more.
-const LEAST_LEFT: f64 = 0.001;
-/// s; the list is saved at most so often.
-const SAVE_EVERY: f64 = 1.0;
-/// Rounds of the decisions within one call, for endings that their own orders bring at once.
-const TURNS: usize = 8;
-/// s; a gap between rounds longer than this is a pause of our own.
-const PAUSE: f64 = 0.5;
-
-/// What is held at the moment.
+/// Maximum number of outstanding requests to one node. A node that exceeds it is taken for dead.
+const MAX_OUTSTANDING_REQUESTS: usize = 50_000;
+/// Maximum number of answers remembered for retries, as a multiple of the session limit.
+const REMEMBERED_PER_SESSION: usize = 2;
+/// A TEARDOWN without a response counts as done after this time, in seconds.
+const TEARDOWN_TIMEOUT: f64 = 2.0;
+/// A request with less time left than this is not begun, in seconds.
+const MIN_TIME_LEFT: f64 = 0.001;
+/// Minimum time between two saves of the node list, in seconds.
+const MIN_SAVE_INTERVAL: f64 = 1.0;
+/// Maximum number of placement rounds within one call. A round needs another one if its own orders end sessions.
+const MAX_PLACEMENT_ROUNDS: usize = 8;
+/// A longer gap between rounds means that this process was paused, in seconds.
+const PAUSE_THRESHOLD: f64 = 0.5;
+
+/// Numbers of what the core holds at the moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Sessions whose final answer is pending.
     pub pending: usize,
     pub playing: usize,
-    /// Sessions known, remembered answers included.
+    /// Known sessions, including finished ones whose answers are remembered.
     pub known: usize,
     pub timers: usize,
     pub requests_out: usize,
     pub links_up: usize,
 }
 
-/// Everything but the decisions.
-struct Hands {
-    book: Deployment,
+/// The state of the core except for the placement logic.
+struct CoreState {
+    deployment: Deployment,
     now: f64,
-    wake: Option<f64>,
+    wake_at: Option<f64>,
     round: Round,
     effects: Vec<Effect>,
-    sess: BTreeMap<u64, Session>,
-    keys: BTreeMap<RequestKey, u64>,
-    socks: BTreeMap<u64, BTreeSet<u64>>,
+    sessions: BTreeMap<u64, Session>,
+    sess_by_key: BTreeMap<RequestKey, u64>,
+    sess_by_sock: BTreeMap<u64, BTreeSet<u64>>,
     links: BTreeMap<u32, Link>,
-    list: RosterList,
-    titles: BTreeMap<String, TitleId>,
-    over: VecDeque<u64>,
-    /// Seats of schools, if a group needs them, and the session that has or waits for each.
+    roster: RosterList,
+    title_ids: BTreeMap<String, TitleId>,
+    finished: VecDeque<u64>,
+    /// Manages the seats of schools, if a group needs them.
     holder: Option<Holder>,
-    seat_of: BTreeMap<seats::SeatName, u64>,
-    /// Sessions whose answer is owed, and these together with those that play.
-    owed: usize,
-    held: usize,
+    /// The session that has or waits for each seat.
+    sess_by_seat: BTreeMap<seats::SeatId, u64>,
+    /// Sessions whose final answer is pending.
+    pending: usize,
+    /// Sessions that are not finished, pending ones included.
+    active: usize,
     timers: Timers,
     next_sess: u64,
-    next_pipe: u64,
+    next_batch: u64,
     next_link: u64,
     next_title: u64,
     rng: fastrand::Rng,
-    /// Until when something new may be begun, where rules are agreed, and the versions that are acted on.
-    lease: Option<f64>,
-    label: String,
-    /// Changes of rules so far.
-    rules: u64,
-    saving: bool,
-    closing: bool,
+    /// Expiry of the lease on the agreed rules; `None` without agreed rules.
+    lease_until: Option<f64>,
+    /// Names the versions of the rules in force.
+    rules_label: String,
+    /// Number of rule changes so far.
+    rule_changes: u64,
+    save_scheduled: bool,
+    shutting_down: bool,
     done: bool,
 }
 
 pub struct DirectorCore {
     director: Director,
-    hands: Hands,
+    state: CoreState,
     last_round: f64,
 }
 
-fn load_of(headers: &kelpdoor_rtsp::Headers) -> LoadReport {
+fn load_report(headers: &kelpdoor_rtsp::Headers) -> LoadReport {
     let load = headers.get(header_names::LOAD_REPORT).map(LoadReportHeader::parse).unwrap_or_default();
     LoadReport { streams: load.streams, link: load.link, uplink: load.uplink }
 }
 
 impl DirectorCore {
-    /// `seed` starts all chance; `now` in seconds since 1970.
-    pub fn new(book: &Deployment, seed: u64, now: f64) -> Self {
+    /// Creates a core. `seed` seeds all random draws; `now` is in seconds since 1970.
+    pub fn new(deployment: &Deployment, seed: u64, now: f64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let director = Director::new(&book.terms(), rng.u64(..), now);
-        // Of its own chance, so that seats change no other draw.
+        let director = Director::new(&deployment.terms(), rng.u64(..), now);
+        // A separate generator, so that seats do not change any other draw.
         let nonce = fastrand::Rng::with_seed(seed ^ now.to_bits()).u64(..);
-        let hands = Hands {
-            book: book.clone(),
+        let state = CoreState {
+            deployment: deployment.clone(),
             now,
-            wake: Some(now),
+            wake_at: Some(now),
             round: Round::default(),
             effects: Vec::new(),
-            sess: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            socks: BTreeMap::new(),
+            sessions: BTreeMap::new(),
+            sess_by_key: BTreeMap::new(),
+            sess_by_sock: BTreeMap::new(),
             links: BTreeMap::new(),
-            list: RosterList::default(),
-            titles: BTreeMap::new(),
-            over: VecDeque::new(),
-            holder: seats::holder(book, || nonce),
-            seat_of: BTreeMap::new(),
-            owed: 0,
-            held: 0,
+            roster: RosterList::default(),
+            title_ids: BTreeMap::new(),
+            finished: VecDeque::new(),
+            holder: seats::holder(deployment, || nonce),
+            sess_by_seat: BTreeMap::new(),
+            pending: 0,
+            active: 0,
             timers: Timers::default(),
             next_sess: 1,
-            next_pipe: rng.u64(..) >> 16,
+            next_batch: rng.u64(..) >> 16,
             next_link: 1,
             next_title: 1,
             rng,
-            lease: None,
-            label: String::new(),
-            rules: 0,
-            saving: false,
-            closing: false,
+            lease_until: None,
+            rules_label: String::new(),
+            rule_changes: 0,
+            save_scheduled: false,
+            shutting_down: false,
             done: false,
         };
-        DirectorCore { director, hands, last_round: now }
+        DirectorCore { director, state, last_round: now }
     }
 
-    /// Takes something in; it acts with the next [`round`](Self::round).
+    /// Handles an input. Its effects appear with the next [`round`](Self::round).
     pub fn handle_input(&mut self, now: f64, input: Input) {
         self.handle_delayed_input(now, 0.0, input);
     }
 
-    /// As [`handle_input`](Self::handle_input), of something that came so many seconds ago: a player's time runs from there.
+    /// Like [`handle_input`](Self::handle_input), for an input that arrived `delay` seconds ago: a player's setup
+    /// timeout counts from its arrival.
     pub fn handle_delayed_input(&mut self, now: f64, waited: f64, input: Input) {
-        let h = &mut self.hands;
+        let h = &mut self.state;
         h.now = h.now.max(now);
         match input {
-            Input::Player { sock, message } => h.player(sock, message, waited.max(0.0), TokenCheck::Missing),
+            Input::Player { sock, message } => {
+                h.handle_player(sock, message, waited.max(0.0), TokenCheck::Missing)
+            }
             Input::PlayerWithToken { sock, message, check } => {
                 h.player_with_token(sock, message, waited.max(0.0), check);
             }
             Input::Keeper(word) => {
                 let out =
                     h.holder.as_mut().map(|holder| holder.handle_response(h.now, &word)).unwrap_or_default();
-                h.seats_out(out);
+                h.apply_holder_outputs(out);
             }
-            Input::SocketLost { sock } => h.socket_lost(sock),
+            Input::SocketLost { sock } => h.handle_socket_lost(sock),
             Input::Node { node, link, event } => h.handle_node_event(node, link, event),
-            Input::Roster(message) => h.roster(message),
-            Input::Cached(list) => h.cached(list),
+            Input::Roster(message) => h.handle_roster(message),
+            Input::Cached(list) => h.handle_cached_roster(list),
             Input::Rules { deployment, label } => {
-                h.rules(*deployment, label);
-                self.director.update_terms(&h.book.terms());
+                h.apply_rules(*deployment, label);
+                self.director.update_terms(&h.deployment.terms());
             }
-            Input::Lease { until } => h.lease = Some(until),
-            Input::Unsent { node, link, batch } => h.unsent(node, link, batch),
-            Input::ShutDown => h.closing = true,
+            Input::Lease { until } => h.lease_until = Some(until),
+            Input::Unsent { node, link, batch } => h.handle_unsent(node, link, batch),
+            Input::ShutDown => h.shutting_down = true,
         }
     }
 
-    /// Fires what is due, asks the decisions, and writes what is to be done.
+    /// Handles timers that are due, runs the placement logic and passes the resulting effects to `out`.
     pub fn round(&mut self, now: f64, out: &mut impl FnMut(Effect)) {
-        let h = &mut self.hands;
+        let h = &mut self.state;
         h.now = h.now.max(now);
         let gap = h.now - self.last_round;
         self.last_round = h.now;
-        if gap > PAUSE {
-            // We stood still, so the links' silence is ours.
-            h.links.values_mut().for_each(|l| l.heard += gap);
+        if gap > PAUSE_THRESHOLD {
+            // This process was paused, so the silence of the links does not count.
+            h.links.values_mut().for_each(|l| l.last_received_at += gap);
         }
-        h.seats_tick();
+        h.tick_holder();
         while let Some(timer) = h.timers.pop(h.now) {
-            h.fire(timer);
+            h.handle_timer(timer);
         }
-        for _ in 0..TURNS {
-            let round = std::mem::take(&mut self.hands.round);
-            self.hands.wake = self.hands.wake.filter(|w| *w > self.hands.now);
-            self.director.round(self.hands.now, &round, &mut self.hands);
-            if self.hands.round.ended.is_empty() && self.hands.round.departures.is_empty() {
+        for _ in 0..MAX_PLACEMENT_ROUNDS {
+            let round = std::mem::take(&mut self.state.round);
+            self.state.wake_at = self.state.wake_at.filter(|w| *w > self.state.now);
+            self.director.round(self.state.now, &round, &mut self.state);
+            if self.state.round.ended.is_empty() && self.state.round.departures.is_empty() {
                 break;
             }
         }
-        self.hands.close_down();
-        self.hands.effects.drain(..).for_each(out);
+        self.state.continue_shutdown();
+        self.state.effects.drain(..).for_each(out);
     }
 
-    /// When a round is due though nothing comes in.
+    /// When the next round is due without an input; infinity if never.
     pub fn next_timer_at(&self) -> f64 {
-        let h = &self.hands;
+        let h = &self.state;
         let more = !h.round.ended.is_empty() || !h.round.departures.is_empty();
         let seats = h.holder.as_ref().map(Holder::next_timer_at);
-        let due = [h.wake, h.timers.next_timer_at(), more.then_some(h.now), seats];
+        let due = [h.wake_at, h.timers.next_timer_at(), more.then_some(h.now), seats];
         due.into_iter().flatten().fold(f64::INFINITY, f64::min)
     }
 
     pub fn counts(&self) -> Counts {
-        let h = &self.hands;
+        let h = &self.state;
         Counts {
-            pending: h.owed,
-            playing: h.held - h.owed,
-            known: h.sess.len(),
+            pending: h.pending,
+            playing: h.active - h.pending,
+            known: h.sessions.len(),
             timers: h.timers.len(),
-            requests_out: h.links.values().map(|l| l.out.len()).sum(),
-            links_up: h.links.values().filter(|l| l.line == Line::Up).count(),
+            requests_out: h.links.values().map(|l| l.outstanding.len()).sum(),
+            links_up: h.links.values().filter(|l| l.connection == ConnectionState::Connected).count(),
         }
     }
 }
 
-impl Hands {
-    fn note(&mut self, sess: Option<u64>, text: impl Into<String>) {
+impl CoreState {
+    fn log_line(&mut self, sess: Option<u64>, text: impl Into<String>) {
         self.effects.push(Effect::Log { sess, text: text.into() });
     }
 
-    fn say(&mut self, sock: Option<u64>, message: ToPlayer) {
+    fn send(&mut self, sock: Option<u64>, message: ToPlayer) {
         if let Some(sock) = sock {
-            let sess = message.key().and_then(|key| self.keys.get(key).copied());
+            let sess = message.key().and_then(|key| self.sess_by_key.get(key).copied());
             self.effects.push(Effect::Player { sock, sess, message });
         }
     }
 
-    fn error(&mut self, sock: u64, key: &RequestKey, code: ErrorCode, message: impl Into<String>) {
+    fn send_error(&mut self, sock: u64, key: &RequestKey, code: ErrorCode, message: impl Into<String>) {
         let key = Some(key.clone());
-        self.say(Some(sock), ToPlayer::Error { key, code, message: message.into() });
+        self.send(Some(sock), ToPlayer::Error { key, code, message: message.into() });
     }
 
     // Players.
 
-    fn player(&mut self, sock: u64, message: FromPlayer, waited: f64, shown: TokenCheck) {
+    fn handle_player(&mut self, sock: u64, message: FromPlayer, waited: f64, shown: TokenCheck) {
         match message {
-            FromPlayer::Ping { n } => self.say(Some(sock), ToPlayer::Pong { n }),
-            FromPlayer::Stop { key } => match self.keys.get(&key).copied() {
-                Some(id) => self.stop(id),
-                None => self.error(sock, &key, ErrorCode::UnknownKey, "no session has this key"),
+            FromPlayer::Ping { n } => self.send(Some(sock), ToPlayer::Pong { n }),
+            FromPlayer::Stop { key } => match self.sess_by_key.get(&key).copied() {
+                Some(id) => self.stop_session(id),
+                None => self.send_error(sock, &key, ErrorCode::UnknownKey, "no session has this key"),
             },
             FromPlayer::Renew { key, .. } => {
-                self.error(sock, &key, ErrorCode::TokenMissing, "no token is asked for here");
+                self.send_error(sock, &key, ErrorCode::TokenMissing, "no token is asked for here");
             }
             FromPlayer::Start { key, group, title, best_rung, setup_timeout, token: _ } => {
-                let g = self.book.groups.iter().position(|g| g.name == group);
+                let g = self.deployment.groups.iter().position(|g| g.name == group);
                 let Some(g) = g else {
-                    return self.error(sock, &key, ErrorCode::UnknownGroup, format!("no group {group:?}"));
+                    return self.send_error(
+                        sock,
+                        &key,
+                        ErrorCode::UnknownGroup,
+                        format!("no group {group:?}"),
+                    );
                 };
-                if let Some(&id) = self.keys.get(&key) {
-                    return self.again(sock, id, g, &title);
+                if let Some(&id) = self.sess_by_key.get(&key) {
+                    return self.answer_retry(sock, id, g, &title);
                 }
-                let e = match self.entitled(g, shown) {
+                let e = match self.check_entitlement(g, shown) {
                     Ok(e) => e,
-                    Err((code, what)) => return self.error(sock, &key, code, what),
+                    Err((code, what)) => return self.send_error(sock, &key, code, what),
                 };
-                self.start(sock, key, g, title, best_rung, setup_timeout, waited, e);
+                self.start_session(sock, key, g, title, best_rung, setup_timeout, waited, e);
             }
         }
     }
 
-    /// A key that is known: the same answer once more, or the same one to come.
-    fn again(&mut self, sock: u64, id: u64, group: usize, title: &str) {
-        let s = &self.sess[&id];
-        if usize::from(s.group) != group || s.title_name != title {
+    /// Answers a request whose key is known: with the same answer again, or later with the one that is still pending.
+    fn answer_retry(&mut self, sock: u64, id: u64, group: usize, title: &str) {
+        let s = &self.sessions[&id];
+        if usize::from(s.group) != group || s.title != title {
             let key = s.key.clone();
-            return self.error(sock, &key, ErrorCode::KeyConflict, "the key stands for another request");
+            return self.send_error(sock, &key, ErrorCode::KeyConflict, "the key stands for another request");
         }
-        let (answer, ended) = (s.answer.clone(), s.ended.clone());
-        self.bind(id, sock);
+        let (answer, ended) = (s.final_answer.clone(), s.ended_message.clone());
+        self.attach_socket(id, sock);
         for message in answer.into_iter().chain(ended) {
-            self.say(Some(sock), message);
+            self.send(Some(sock), message);
         }
     }
 
-    fn bind(&mut self, id: u64, sock: u64) {
-        let Some(s) = self.sess.get_mut(&id) else { return };
-        if let Some(of) = s.sock.replace(sock).and_then(|old| self.socks.get_mut(&old)) {
+    fn attach_socket(&mut self, id: u64, sock: u64) {
+        let Some(s) = self.sessions.get_mut(&id) else { return };
+        if let Some(of) = s.sock.replace(sock).and_then(|old| self.sess_by_sock.get_mut(&old)) {
             of.remove(&id);
         }
-        s.losses += 1;
-        if s.stage != Stage::Over {
-            self.socks.entry(sock).or_default().insert(id);
+        s.socket_changes += 1;
+        if s.stage != Stage::Finished {
+            self.sess_by_sock.entry(sock).or_default().insert(id);
         }
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
-    fn start(
+    fn start_session(
         &mut self, sock: u64, key: RequestKey, g: usize, title: String, best: u8, timeout: f64, waited: f64,
         entitled: Option<Entitlement>,
     ) {
-        let Some(lies) = self.lies(&title) else {
-            return self.error(sock, &key, ErrorCode::UnknownTitle, format!("no title {title:?}"));
+        let Some(location) = self.title_location(&title) else {
+            return self.send_error(sock, &key, ErrorCode::UnknownTitle, format!("no title {title:?}"));
         };
-        let group = &self.book.groups[g];
+        let group = &self.deployment.groups[g];
         if best < group.floor {
             let what = format!("the group plays at rung {} at least", group.floor);
-            return self.error(sock, &key, ErrorCode::RungTooLow, what);
+            return self.send_error(sock, &key, ErrorCode::RungTooLow, what);
         }
-        let come_back = self.book.director.come_back;
-        let left = timeout - self.book.players.answer_ahead.min(timeout / 2.0) - waited;
-        // No room, or it lay so long before we came to it that its viewer has given up.
-        let full = self.held >= self.book.players.sessions;
-        let refused = self.closing || full || left < LEAST_LEFT || !self.may_begin();
+        let come_back = self.deployment.director.come_back;
+        let left = timeout - self.deployment.players.answer_ahead.min(timeout / 2.0) - waited;
+        // There is no room, or the request waited so long that its viewer has given up.
+        let full = self.active >= self.deployment.players.sessions;
+        let refused = self.shutting_down || full || left < MIN_TIME_LEFT || !self.lease_valid();
         let id = self.next_sess;
         self.next_sess += 1;
-        let names = &mut self.titles;
+        let names = &mut self.title_ids;
         let title_id = *names.entry(title.clone()).or_insert_with(|| {
             self.next_title += 1;
             TitleId(self.next_title)
         });
-        let wanted = NewSession {
+        let request = NewSession {
             sess: SessId(id),
             group: GroupId(g as u8),
             title: title_id,
             setup_timeout: left,
-            first_cell: lies.first_cell,
-            cells: lies.cells,
-            best_rung: best.min(self.book.ladder.rates.len() as u8 - 1),
+            first_cell: location.first_cell,
+            cells: location.cells,
+            best_rung: best.min(self.deployment.ladder.rates.len() as u8 - 1),
         };
         let session = Session {
             key: key.clone(),
             sock: None,
-            losses: 0,
+            socket_changes: 0,
             group: g as u8,
-            title_name: title,
-            due: self.now + left,
-            deadline: self.now - waited + timeout,
-            stage: Stage::Asked,
+            title,
+            answer_due_at: self.now + left,
+            player_deadline: self.now - waited + timeout,
+            stage: Stage::Pending,
             rung: group.floor,
             seat: None,
-            wanted: Some(wanted),
+            request: Some(request),
             attempt: None,
-            setups: 0,
-            answer: None,
-            ended: None,
+            setup_count: 0,
+            final_answer: None,
+            ended_message: None,
         };
-        self.sess.insert(id, session);
-        self.keys.insert(key, id);
-        self.held += 1;
-        self.owed += 1;
-        self.bind(id, sock);
+        self.sessions.insert(id, session);
+        self.sess_by_key.insert(key, id);
+        self.active += 1;
+        self.pending += 1;
+        self.attach_socket(id, sock);
         if refused {
-            // Kept like any other answer: a retry hears the same.
-            self.answer(id, |key| ToPlayer::Busy { key, come_back });
-            return self.over(id);
+            // The answer is stored like any other, so that a retry receives the same one.
+            self.send_final(id, |key| ToPlayer::Busy { key, come_back });
+            return self.finish(id);
         }
-        self.timers.set(self.now + left, Timer::AnswerDue { sess: id });
+        self.timers.set(self.now + left, Timer::AnswerDeadline { sess: id });
         match entitled {
             None => self.admit(id),
-            Some(e) => self.ask_seat(id, left, e),
+            Some(e) => self.request_seat(id, left, e),
         }
     }
 
-    /// Hands a request to the decisions, with what is left of its time.
+    /// Passes a request to the placement logic with the rest of its time.
     fn admit(&mut self, id: u64) {
-        let Some(s) = self.sess.get_mut(&id).filter(|s| s.stage == Stage::Asked) else { return };
-        let Some(mut wanted) = s.wanted.take() else { return };
-        wanted.setup_timeout = s.due - self.now;
-        if wanted.setup_timeout < LEAST_LEFT {
-            // Its seat came too late, as after a pause of ours: nothing ran.
-            let come_back = self.book.director.come_back;
-            self.answer(id, |key| ToPlayer::Busy { key, come_back });
-            return self.over(id);
+        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.stage == Stage::Pending) else { return };
+        let Some(mut request) = s.request.take() else { return };
+        request.setup_timeout = s.answer_due_at - self.now;
+        if request.setup_timeout < MIN_TIME_LEFT {
+            // The seat was granted too late, for example after a pause of this process. No SETUP was sent.
+            let come_back = self.deployment.director.come_back;
+            self.send_final(id, |key| ToPlayer::Busy { key, come_back });
+            return self.finish(id);
         }
-        self.round.new_sessions.push(wanted);
+        self.round.new_sessions.push(request);
     }
 
-    /// Whether something new may be begun, or a session's rung changed: always where nothing is agreed, else under a lease.
-    fn may_begin(&self) -> bool {
-        self.lease.is_none_or(|until| self.now < until)
+    /// Whether sessions may begin or change their rung: always without agreed rules, otherwise while the lease lasts.
+    fn lease_valid(&self) -> bool {
+        self.lease_until.is_none_or(|until| self.now < until)
     }
 
-    /// A session that has a SETUP which must not leave is given up at once: nothing ran.
-    fn barred(&mut self, id: u64) {
-        let come_back = self.book.director.come_back;
-        self.note(Some(id), "no lease on the rules: not set up");
-        self.give_up(id, SetupOutcome::NeverSent, true);
-        self.answer(id, |key| ToPlayer::Busy { key, come_back });
-        self.over(id);
+    /// Answers `busy` to a session whose SETUP must not be sent because the lease has expired.
+    fn reject_without_lease(&mut self, id: u64) {
+        let come_back = self.deployment.director.come_back;
+        self.log_line(Some(id), "no lease on the rules; SETUP not sent");
+        self.abandon_setup(id, SetupOutcome::NeverSent, true);
+        self.send_final(id, |key| ToPlayer::Busy { key, come_back });
+        self.finish(id);
     }
 
-    /// The lease was over when the turn of a SETUP came: neither it nor its PLAY is answered, whatever became of the session.
-    /// Or that of a change of rung: the session stays at the rung that its node knows.
-    fn unsent(&mut self, node: u32, number: u64, of: u64) {
+    /// Handles requests that the shell did not send because the lease had expired. A SETUP and its PLAY will get no
+    /// response, whatever state the session is in by now. After an unsent change of rung the session stays at the rung
+    /// that its node knows.
+    fn handle_unsent(&mut self, node: u32, number: u64, unsent: u64) {
         let Some(link) = self.links.get_mut(&node).filter(|l| l.number == number) else { return };
         let (mut id, mut kept) = (None, None);
-        link.out.retain(|_, asked| match asked {
-            Asked::Rung { sess, rung, was, name } if *name == of => {
+        link.outstanding.retain(|_, asked| match asked {
+            RequestPurpose::Rung { sess, rung, was, batch } if *batch == unsent => {
                 kept = Some((*sess, *rung, *was));
                 false
             }
-            Asked::Setup { pipe, sess } | Asked::Play { pipe, sess } if *pipe == of => {
+            RequestPurpose::Setup { batch, sess } | RequestPurpose::Play { batch, sess }
+                if *batch == unsent =>
+            {
                 id = Some(*sess);
                 false
             }
             _ => true,
         });
         if let Some((sess, rung, was)) = kept {
-            return self.rung_refused(node, sess, rung, was);
+            return self.revert_rung(node, sess, rung, was);
         }
-        let Some(id) = id.filter(|id| self.current(*id, of).is_some()) else { return };
-        if let Some(a) = self.sess.get_mut(&id).and_then(|s| s.attempt.as_mut()) {
+        let Some(id) = id.filter(|id| self.session_with_setup(*id, unsent).is_some()) else { return };
+        if let Some(a) = self.sessions.get_mut(&id).and_then(|s| s.attempt.as_mut()) {
             a.sent = false;
         }
-        self.barred(id);
+        self.reject_without_lease(id);
     }
 
-    /// The viewer is done or gone.
-    fn stop(&mut self, id: u64) {
-        let Some(s) = self.sess.get(&id) else { return };
+    /// Ends a session because its viewer stopped it or did not reconnect.
+    fn stop_session(&mut self, id: u64) {
+        let Some(s) = self.sessions.get(&id) else { return };
         match s.stage {
-            Stage::Over | Stage::Ending => {}
-            Stage::Asked => {
+            Stage::Finished | Stage::TearingDown => {}
+            Stage::Pending => {
                 if s.attempt.is_some() {
-                    self.give_up(id, SetupOutcome::Withdrawn, true);
-                } else if s.wanted.is_none() {
+                    self.abandon_setup(id, SetupOutcome::Withdrawn, true);
+                } else if s.request.is_none() {
                     self.round.departures.push(SessId(id));
                 }
-                self.answer(id, |key| ToPlayer::Failed { key, why: FailureReason::Stopped });
-                self.over(id);
+                self.send_final(id, |key| ToPlayer::Failed { key, why: FailureReason::Stopped });
+                self.finish(id);
             }
             Stage::Playing => self.end_playing(id, EndReason::Stopped),
         }
     }
 
-    /// Takes a session off its node; it is over when that is done.
+    /// Tears down a playing session. It is finished when the TEARDOWN is answered or times out.
     fn end_playing(&mut self, id: u64, why: EndReason) {
-        self.tear_down(id);
-        self.tell_ended(id, why);
-        if let Some(s) = self.sess.get_mut(&id) {
-            s.stage = Stage::Ending;
+        self.send_teardown(id);
+        self.send_ended(id, why);
+        if let Some(s) = self.sessions.get_mut(&id) {
+            s.stage = Stage::TearingDown;
         }
-        self.timers.set(self.now + TEARDOWN_WAIT, Timer::TornDown { sess: id });
+        self.timers.set(self.now + TEARDOWN_TIMEOUT, Timer::TeardownTimeout { sess: id });
     }
 
-    fn socket_lost(&mut self, sock: u64) {
-        for id in self.socks.remove(&sock).unwrap_or_default() {
-            let Some(s) = self.sess.get_mut(&id).filter(|s| s.sock == Some(sock)) else { continue };
+    fn handle_socket_lost(&mut self, sock: u64) {
+        for id in self.sess_by_sock.remove(&sock).unwrap_or_default() {
+            let Some(s) = self.sessions.get_mut(&id).filter(|s| s.sock == Some(sock)) else { continue };
             s.sock = None;
-            s.losses += 1;
-            let timer = Timer::Resume { sess: id, losses: s.losses };
-            self.timers.set(self.now + self.book.players.resume_for, timer);
+            s.socket_changes += 1;
+            let timer = Timer::ResumeTimeout { sess: id, socket_changes: s.socket_changes };
+            self.timers.set(self.now + self.deployment.players.resume_for, timer);
         }
     }
 
-    /// The one final answer.
-    fn answer(&mut self, id: u64, of: impl FnOnce(RequestKey) -> ToPlayer) {
-        let Some(s) = self.sess.get_mut(&id) else { return };
-        if s.answer.is_some() {
+    /// Sends and stores the final answer, unless the session already has one.
+    fn send_final(&mut self, id: u64, of: impl FnOnce(RequestKey) -> ToPlayer) {
+        let Some(s) = self.sessions.get_mut(&id) else { return };
+        if s.final_answer.is_some() {
             return;
         }
         let (message, sock) = (of(s.key.clone()), s.sock);
-        s.answer = Some(message.clone());
-        self.say(sock, message);
+        s.final_answer = Some(message.clone());
+        self.send(sock, message);
     }
 
-    fn tell_ended(&mut self, id: u64, why: EndReason) {
-        let Some(s) = self.sess.get_mut(&id) else { return };
-        if s.ended.is_some() {
+    fn send_ended(&mut self, id: u64, why: EndReason) {
+        let Some(s) = self.sessions.get_mut(&id) else { return };
+        if s.ended_message.is_some() {
             return;
         }
         let (message, sock) = (ToPlayer::Ended { key: s.key.clone(), why }, s.sock);
-        s.ended = Some(message.clone());
-        self.say(sock, message);
+        s.ended_message = Some(message.clone());
+        self.send(sock, message);
     }
 
-    /// Nothing is held for the session any more but its answer.
-    fn over(&mut self, id: u64) {
-        let Some(s) = self.sess.get_mut(&id).filter(|s| s.stage != Stage::Over) else { return };
-        self.owed -= usize::from(s.stage == Stage::Asked);
-        s.stage = Stage::Over;
+    /// Releases everything that the session holds except its answer, which is kept for retries.
+    fn finish(&mut self, id: u64) {
+        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.stage != Stage::Finished) else { return };
+        self.pending -= usize::from(s.stage == Stage::Pending);
+        s.stage = Stage::Finished;
         s.attempt = None;
-        s.wanted = None;
-        if let Some(of) = s.sock.take().and_then(|sock| self.socks.get_mut(&sock)) {
+        s.request = None;
+        if let Some(of) = s.sock.take().and_then(|sock| self.sess_by_sock.get_mut(&sock)) {
             of.remove(&id);
         }
-        self.held -= 1;
-        self.over.push_back(id);
-        self.timers.set(self.now + self.book.players.remember, Timer::Forget { sess: id });
-        self.give_back(id);
-        while self.over.len() > REMEMBERED * self.book.players.sessions {
-            if let Some(oldest) = self.over.pop_front() {
+        self.active -= 1;
+        self.finished.push_back(id);
+        self.timers.set(self.now + self.deployment.players.remember, Timer::Forget { sess: id });
+        self.release_seat(id);
+        while self.finished.len() > REMEMBERED_PER_SESSION * self.deployment.players.sessions {
+            if let Some(oldest) = self.finished.pop_front() {
                 self.forget(oldest);
             }
         }
     }
 
     fn forget(&mut self, id: u64) {
-        if let Some(s) = self.sess.remove(&id) {
-            self.keys.remove(&s.key);
+        if let Some(s) = self.sessions.remove(&id) {
+            self.sess_by_key.remove(&s.key);
         }
     }
 
     // Nodes.
 
-    fn request(&mut self, node: u32, asked: Asked, method: Method, uri: &str, with: &[(&str, String)]) {
-        let Some(link) = self.links.get_mut(&node).filter(|l| l.line == Line::Up) else { return };
-        if link.out.len() >= MAX_OUT {
-            let timer = Timer::Choked { node, link: link.number };
+    fn send_request(
+        &mut self, node: u32, asked: RequestPurpose, method: Method, uri: &str, with: &[(&str, String)],
+    ) {
+        let Some(link) = self.links.get_mut(&node).filter(|l| l.connection == ConnectionState::Connected)
+        else {
+            return;
+        };
+        if link.outstanding.len() >= MAX_OUTSTANDING_REQUESTS {
+            let timer = Timer::TooManyOutstanding { node, link: link.number };
             self.timers.set(self.now, timer);
             return;
         }
         link.cseq = link.cseq.wrapping_add(1);
-        link.out.insert(link.cseq, asked);
+        link.outstanding.insert(link.cseq, asked);
         let mut request = Request::new(method, uri, link.cseq);
         for (name, value) in with {
             request.headers.append(name, value);
@@ -522,9 +542,9 @@
         let mut bytes = Vec::with_capacity(192);
         Message::Request(request).write(&mut bytes);
         let link = link.number;
-        // One write for what goes out together, but that what may leave only under a lease stands apart: a SETUP with its PLAY,
-        // a change of rung.
-        let leased = asked.under_lease().filter(|_| self.lease.is_some());
+        // Consecutive requests to a node share one write. Requests under a lease (a SETUP with its PLAY, a change of
+        // rung) stay separate, so that the shell can drop them alone.
+        let leased = asked.lease_batch().filter(|_| self.lease_until.is_some());
         match (self.effects.last_mut(), leased) {
             (Some(Effect::Node { node: n, link: l, bytes: before }), None) if (*n, *l) == (node, link) => {
                 before.append(&mut bytes);
@@ -540,310 +560,331 @@
     }
 
     fn dial(&mut self, node: u32) {
-        let Some(link) = self.links.get_mut(&node).filter(|l| l.line == Line::Down) else { return };
-        link.line = Line::Dialling;
+        let Some(link) = self.links.get_mut(&node).filter(|l| l.connection == ConnectionState::Disconnected)
+        else {
+            return;
+        };
+        link.connection = ConnectionState::Connecting;
         link.number = self.next_link;
         self.next_link += 1;
         let (number, address) = (link.number, link.address);
         self.effects.push(Effect::Dial { node, link: number, address });
-        let due = self.now + self.book.node_links.connect_timeout;
-        self.timers.set(due, Timer::ConnectDue { node, link: number });
+        let due = self.now + self.deployment.node_links.connect_timeout;
+        self.timers.set(due, Timer::ConnectTimeout { node, link: number });
     }
 
     fn handle_node_event(&mut self, node: u32, number: u64, event: NodeEvent) {
-        let Some(link) = self.links.get_mut(&node).filter(|l| l.number == number && l.line != Line::Down)
+        let Some(link) = self
+            .links
+            .get_mut(&node)
+            .filter(|l| l.number == number && l.connection != ConnectionState::Disconnected)
         else {
             return;
         };
-        link.heard = self.now;
+        link.last_received_at = self.now;
         match event {
             NodeEvent::Connected => {
-                if link.line != Line::Dialling {
+                if link.connection != ConnectionState::Connecting {
                     return;
                 }
-                link.line = Line::Up;
+                link.connection = ConnectionState::Connected;
                 link.failures = 0;
-                let waiting = std::mem::take(&mut link.waiting);
+                let waiting = std::mem::take(&mut link.waiting_setups);
                 let uri = format!("rtsp://{}/", link.address);
-                let me = self.book.director.me;
+                let me = self.deployment.director.me;
                 let agent = format!("kelpdoor/{} (director {me})", env!("CARGO_PKG_VERSION"));
-                self.request(
+                self.send_request(
                     node,
-                    Asked::Options,
+                    RequestPurpose::Options,
                     Method::Options,
                     &uri,
                     &[(header_names::USER_AGENT, agent)],
                 );
-                waiting.into_iter().for_each(|id| self.send(id));
-                let look = self.now + self.book.node_links.quiet / 2.0;
-                self.timers.set(look, Timer::Look { node, link: number });
+                waiting.into_iter().for_each(|id| self.write_setup(id));
+                let look = self.now + self.deployment.node_links.quiet / 2.0;
+                self.timers.set(look, Timer::CheckLiveness { node, link: number });
             }
-            NodeEvent::ConnectFailed => self.unreached(node),
-            NodeEvent::ConnectionLost => self.lose(node, number, false),
-            NodeEvent::Received(Message::Response(r)) => self.answered(node, r),
-            NodeEvent::Received(Message::Request(r)) => self.noticed(node, r),
+            NodeEvent::ConnectFailed => self.handle_connect_failure(node),
+            NodeEvent::ConnectionLost => self.close_link(node, number, false),
+            NodeEvent::Received(Message::Response(r)) => self.handle_response(node, r),
+            NodeEvent::Received(Message::Request(r)) => self.handle_node_request(node, r),
         }
     }
 
-    /// A connection could not be made: nothing of what waited for it was sent.
-    fn unreached(&mut self, node: u32) {
+    /// A connection attempt failed: no SETUP that waited for it was sent.
+    fn handle_connect_failure(&mut self, node: u32) {
         let Some(link) = self.links.get_mut(&node) else { return };
-        let waiting = std::mem::take(&mut link.waiting);
-        self.down(node);
-        waiting.into_iter().for_each(|id| self.give_up(id, SetupOutcome::Unreachable, false));
+        let waiting = std::mem::take(&mut link.waiting_setups);
+        self.schedule_redial(node);
+        waiting.into_iter().for_each(|id| self.abandon_setup(id, SetupOutcome::Unreachable, false));
     }
 
-    /// Sets the line down, to be dialled again after a growing wait.
-    fn down(&mut self, node: u32) {
-        let (first, most) = self.book.node_links.back_off;
+    /// Marks the link as disconnected and schedules a reconnection with exponential backoff and jitter.
+    fn schedule_redial(&mut self, node: u32) {
+        let (first, most) = self.deployment.node_links.back_off;
         let spread = 0.5 + self.rng.f64();
         let Some(link) = self.links.get_mut(&node) else { return };
-        link.line = Line::Down;
-        link.out.clear();
-        link.by_rtsp.clear();
+        link.connection = ConnectionState::Disconnected;
+        link.outstanding.clear();
+        link.sess_by_rtsp_id.clear();
         let wait = (first * f64::from(1 << link.failures.min(16))).min(most) * spread;
         link.failures += 1;
         let number = link.number;
         self.timers.set(self.now + wait, Timer::Redial { node, link: number });
     }
 
-    /// A connection is gone, with all it held.
-    fn lose(&mut self, node: u32, number: u64, hang_up: bool) {
-        let Some(link) = self.links.get_mut(&node).filter(|l| l.number == number && l.line != Line::Down)
+    /// Handles the end of a connection and of all sessions on it.
+    fn close_link(&mut self, node: u32, number: u64, hang_up: bool) {
+        let Some(link) = self
+            .links
+            .get_mut(&node)
+            .filter(|l| l.number == number && l.connection != ConnectionState::Disconnected)
         else {
             return;
         };
         let held = std::mem::take(&mut link.sessions);
-        link.waiting.clear();
+        link.waiting_setups.clear();
         if hang_up {
             self.effects.push(Effect::Disconnect { node, link: number });
         }
-        self.down(node);
+        self.schedule_redial(node);
         for id in held {
-            let Some(s) = self.sess.get_mut(&id) else { continue };
+            let Some(s) = self.sessions.get_mut(&id) else { continue };
             let (stage, sent) = (s.stage, s.attempt.as_ref().is_some_and(|a| a.sent));
             s.attempt = None;
             let outcome = if sent { SetupOutcome::ConnectionLost } else { SetupOutcome::Unreachable };
-            self.ended(id, node, outcome, stage != Stage::Asked, LoadReport::default());
-            if stage != Stage::Asked {
-                self.tell_ended(id, EndReason::NodeLost);
-                self.over(id);
+            self.report_ended(id, node, outcome, stage != Stage::Pending, LoadReport::default());
+            if stage != Stage::Pending {
+                self.send_ended(id, EndReason::NodeLost);
+                self.finish(id);
             }
         }
     }
 
-    fn ended(&mut self, id: u64, node: u32, outcome: SetupOutcome, closed: bool, load: LoadReport) {
-        self.note(Some(id), format!("at node {node}: {outcome:?}"));
+    fn report_ended(&mut self, id: u64, node: u32, outcome: SetupOutcome, closed: bool, load: LoadReport) {
+        self.log_line(Some(id), format!("at node {node}: {outcome:?}"));
         self.round.ended.push(Ended { sess: SessId(id), node: NodeId(node), outcome, closed, load });
     }
 
-    fn uri(&self, node: u32, title: &str) -> String {
+    fn node_uri(&self, node: u32, title: &str) -> String {
         self.links.get(&node).map_or(String::new(), |l| format!("rtsp://{}/{title}", l.address))
     }
 
-    /// Puts a session's SETUP on the wire, its PLAY right behind it.
-    fn send(&mut self, id: u64) {
-        let (may, label, rules) = (self.may_begin(), self.label.clone(), self.rules);
-        let Some(s) = self.sess.get_mut(&id) else { return };
+    /// Sends a session's SETUP with its PLAY pipelined behind it.
+    fn write_setup(&mut self, id: u64) {
+        let (may, label, rules) = (self.lease_valid(), self.rules_label.clone(), self.rule_changes);
+        let Some(s) = self.sessions.get_mut(&id) else { return };
         let Some(a) = s.attempt.as_mut().filter(|a| !a.sent) else { return };
-        let (node, pipe) = (a.node, a.pipe);
-        let Some(link) = self.links.get(&node).filter(|l| l.line == Line::Up) else { return };
+        let (node, batch) = (a.node, a.batch);
+        let Some(link) = self.links.get(&node).filter(|l| l.connection == ConnectionState::Connected) else {
+            return;
+        };
         if !may {
-            return self.barred(id);
+            return self.reject_without_lease(id);
         }
-        if a.rules != rules {
-            // Decided on rules that changed while it waited for its connection: decided anew.
-            return self.give_up(id, SetupOutcome::NeverSent, false);
+        if a.rule_changes != rules {
+            // The rules changed while the SETUP waited for its connection: the placement logic decides again.
+            return self.abandon_setup(id, SetupOutcome::NeverSent, false);
         }
         (a.sent, a.link) = (true, link.number);
         let mut setup = vec![
-            (header_names::PIPELINED, pipe.to_string()),
+            (header_names::PIPELINED, batch.to_string()),
             (header_names::TRANSPORT, "RTP/AVP/TCP;unicast".to_owned()),
             (header_names::RUNG, s.rung.to_string()),
-            (header_names::SERVICE_GROUP, self.book.groups[usize::from(s.group)].name.clone()),
+            (header_names::SERVICE_GROUP, self.deployment.groups[usize::from(s.group)].name.clone()),
             (header_names::REQUEST_KEY, s.key.0.clone()),
         ];
-        let uri = format!("rtsp://{}/{}", link.address, s.title_name);
-        if self.lease.is_some() {
+        let uri = format!("rtsp://{}/{}", link.address, s.title);
+        if self.lease_until.is_some() {
             setup.push((header_names::RULES_VERSION, label));
         }
-        self.request(node, Asked::Setup { sess: id, pipe }, Method::Setup, &uri, &setup);
-        self.request(node, Asked::Play { sess: id, pipe }, Method::Play, &uri, &setup[..1]);
+        self.send_request(node, RequestPurpose::Setup { sess: id, batch }, Method::Setup, &uri, &setup);
+        self.send_request(node, RequestPurpose::Play { sess: id, batch }, Method::Play, &uri, &setup[..1]);
     }
 
-    /// Takes back whatever of the session is at its node, by the node's own id or, before that is known, by the
-    /// name that its SETUP went out under.
-    fn tear_down(&mut self, id: u64) {
-        let Some(s) = self.sess.get_mut(&id) else { return };
+    /// Sends a TEARDOWN for whatever the node has of the session. It names the node's session id or, before that is
+    /// known, the pipeline id of the SETUP.
+    fn send_teardown(&mut self, id: u64) {
+        let Some(s) = self.sessions.get_mut(&id) else { return };
         let Some(a) = &s.attempt else { return };
-        let name = match &a.rtsp {
-            Some(rtsp) => (header_names::SESSION, rtsp.clone()),
-            None => (header_names::PIPELINED, a.pipe.to_string()),
+        let name = match &a.rtsp_id {
+            Some(rtsp_id) => (header_names::SESSION, rtsp_id.clone()),
+            None => (header_names::PIPELINED, a.batch.to_string()),
         };
-        let (node, sent, title) = (a.node, a.sent, s.title_name.clone());
+        let (node, sent, title) = (a.node, a.sent, s.title.clone());
         if sent {
-            let uri = self.uri(node, &title);
-            self.request(node, Asked::Teardown { sess: id }, Method::Teardown, &uri, &[name]);
+            let uri = self.node_uri(node, &title);
+            self.send_request(node, RequestPurpose::Teardown { sess: id }, Method::Teardown, &uri, &[name]);
         }
     }
 
-    /// Ends a SETUP that is out: it is taken back at once, so that a late success plays nowhere.
-    fn give_up(&mut self, id: u64, outcome: SetupOutcome, closed: bool) {
-        let Some(a) = self.sess.get(&id).and_then(|s| s.attempt.clone()) else { return };
-        self.tear_down(id);
-        self.leave(id, &a);
+    /// Gives up an outstanding SETUP. The TEARDOWN is sent at once, so that a late success does not leave a stream
+    /// playing.
+    fn abandon_setup(&mut self, id: u64, outcome: SetupOutcome, closed: bool) {
+        let Some(a) = self.sessions.get(&id).and_then(|s| s.attempt.clone()) else { return };
+        self.send_teardown(id);
+        self.detach_from_link(id, &a);
         let outcome = match outcome {
-            // What never went out never ran.
+            // A SETUP that was never sent cannot have run.
             SetupOutcome::TimedOut if !a.sent => SetupOutcome::Unreachable,
             SetupOutcome::Withdrawn if !a.sent => SetupOutcome::NeverSent,
             outcome => outcome,
         };
-        self.ended(id, a.node, outcome, closed, LoadReport::default());
+        self.report_ended(id, a.node, outcome, closed, LoadReport::default());
     }
 
-    /// The link holds the session no more.
-    fn leave(&mut self, id: u64, a: &Attempt) {
-        if let Some(s) = self.sess.get_mut(&id) {
+    /// Removes the session from its link.
+    fn detach_from_link(&mut self, id: u64, a: &Attempt) {
+        if let Some(s) = self.sessions.get_mut(&id) {
             s.attempt = None;
         }
         if let Some(link) = self.links.get_mut(&a.node) {
             link.sessions.remove(&id);
-            link.waiting.retain(|w| *w != id);
-            if let Some(rtsp) = &a.rtsp {
-                link.by_rtsp.remove(rtsp);
+            link.waiting_setups.retain(|w| *w != id);
+            if let Some(rtsp_id) = &a.rtsp_id {
+                link.sess_by_rtsp_id.remove(rtsp_id);
             }
         }
     }
 
-    fn current(&self, id: u64, pipe: u64) -> Option<&Session> {
-        self.sess.get(&id).filter(|s| s.attempt.as_ref().is_some_and(|a| a.pipe == pipe && a.sent))
+    fn session_with_setup(&self, id: u64, batch: u64) -> Option<&Session> {
+        self.sessions.get(&id).filter(|s| s.attempt.as_ref().is_some_and(|a| a.batch == batch && a.sent))
     }
 
-    fn answered(&mut self, node: u32, r: Response) {
-        let Some(asked) = self.links.get_mut(&node).and_then(|l| l.out.remove(&r.cseq)) else {
-            return self.note(None, format!("node {node}: an answer to nothing, CSeq {}", r.cseq));
+    fn handle_response(&mut self, node: u32, r: Response) {
+        let Some(asked) = self.links.get_mut(&node).and_then(|l| l.outstanding.remove(&r.cseq)) else {
+            return self.log_line(None, format!("node {node}: response to unknown request, CSeq {}", r.cseq));
         };
-        let load = load_of(&r.headers);
+        let load = load_report(&r.headers);
         match asked {
-            Asked::Options => {}
-            Asked::Probe { told } => {
+            RequestPurpose::Options => {}
+            RequestPurpose::Probe { requested } => {
                 let outcome = if r.ok() { SetupOutcome::Served } else { SetupOutcome::Failed };
-                if told {
+                if requested {
                     self.round.probed.push((NodeId(node), outcome, load));
                 }
             }
-            Asked::Setup { sess, pipe } => {
-                let rtsp =
+            RequestPurpose::Setup { sess, batch } => {
+                let rtsp_id =
                     r.headers.get(header_names::SESSION).map(|s| s.split(';').next().unwrap_or(s).trim());
-                let rtsp = rtsp.filter(|s| !s.is_empty() && s.len() <= 128).map(str::to_owned);
-                if self.current(sess, pipe).is_none() {
-                    // A late success: taken back by the name that the node now gives it.
-                    if let Some(rtsp) = rtsp.filter(|_| r.ok()) {
-                        let uri = self.uri(node, "");
-                        let name = [(header_names::SESSION, rtsp)];
-                        self.request(node, Asked::Teardown { sess: 0 }, Method::Teardown, &uri, &name);
+                let rtsp_id = rtsp_id.filter(|s| !s.is_empty() && s.len() <= 128).map(str::to_owned);
+                if self.session_with_setup(sess, batch).is_none() {
+                    // A late success is torn down by the session id in the response.
+                    if let Some(rtsp_id) = rtsp_id.filter(|_| r.ok()) {
+                        let uri = self.node_uri(node, "");
+                        let name = [(header_names::SESSION, rtsp_id)];
+                        self.send_request(
+                            node,
+                            RequestPurpose::Teardown { sess: 0 },
+                            Method::Teardown,
+                            &uri,
+                            &name,
+                        );
                     }
                     return;
                 }
-                match rtsp.filter(|_| r.ok()) {
-                    Some(rtsp) => {
+                match rtsp_id.filter(|_| r.ok()) {
+                    Some(rtsp_id) => {
                         if let Some(link) = self.links.get_mut(&node) {
-                            link.by_rtsp.insert(rtsp.clone(), sess);
+                            link.sess_by_rtsp_id.insert(rtsp_id.clone(), sess);
                         }
-                        if let Some(a) = self.sess.get_mut(&sess).and_then(|s| s.attempt.as_mut()) {
-                            a.rtsp = Some(rtsp);
+                        if let Some(a) = self.sessions.get_mut(&sess).and_then(|s| s.attempt.as_mut()) {
+                            a.rtsp_id = Some(rtsp_id);
                         }
-                        self.plays(sess, None);
+                        self.start_playing(sess, None);
                     }
-                    // Refused, or a 200 that names no session.
-                    None => self.refused(sess, r.is_refusal(), load),
+                    // A refusal, or a 200 without a session id.
+                    None => self.handle_refusal(sess, r.is_refusal(), load),
                 }
             }
-            Asked::Play { sess, pipe } => {
-                if self.current(sess, pipe).is_none() {
+            RequestPurpose::Play { sess, batch } => {
+                if self.session_with_setup(sess, batch).is_none() {
                     return;
                 }
                 if !r.ok() {
-                    // No proof, whatever it says: the SETUP before it may stand, or may not be answered yet.
-                    if self.sess[&sess].stage == Stage::Asked {
-                        self.refused(sess, false, load);
+                    // Whatever the status, this does not prove that the SETUP failed: the SETUP may have succeeded,
+                    // or its response may still be outstanding.
+                    if self.sessions[&sess].stage == Stage::Pending {
+                        self.handle_refusal(sess, false, load);
                     }
                     return;
                 }
-                if let Some(a) = self.sess.get_mut(&sess).and_then(|s| s.attempt.as_mut()) {
+                if let Some(a) = self.sessions.get_mut(&sess).and_then(|s| s.attempt.as_mut()) {
                     a.play_ok = true;
                 }
-                self.plays(sess, r.headers.get(header_names::ASKED).map(LinkDemandHeader::parse));
+                self.start_playing(sess, r.headers.get(header_names::ASKED).map(LinkDemandHeader::parse));
             }
-            Asked::Rung { sess, rung, was, .. } => {
+            RequestPurpose::Rung { sess, rung, was, .. } => {
                 if !r.ok() {
-                    self.rung_refused(node, sess, rung, was);
+                    self.revert_rung(node, sess, rung, was);
                 }
             }
-            Asked::Teardown { sess } => self.torn_down(sess, node, load),
+            RequestPurpose::Teardown { sess } => self.complete_teardown(sess, node, load),
         }
     }
 
-    /// The node keeps a session at the rung it had; only the last change counts, and one that is out goes from there.
-    fn rung_refused(&mut self, node: u32, id: u64, rung: u8, was: u8) {
-        for asked in self.links.get_mut(&node).into_iter().flat_map(|l| l.out.values_mut()) {
-            if let Asked::Rung { sess, was: from, .. } = asked
+    /// Reverts a refused change of rung. Only the latest change sets the rung in force; an outstanding later change falls
+    /// back to `was` instead of to the refused rung.
+    fn revert_rung(&mut self, node: u32, id: u64, rung: u8, was: u8) {
+        for asked in self.links.get_mut(&node).into_iter().flat_map(|l| l.outstanding.values_mut()) {
+            if let RequestPurpose::Rung { sess, was: previous, .. } = asked
                 && *sess == id
-                && *from == rung
+                && *previous == rung
             {
-                *from = was;
+                *previous = was;
             }
         }
-        let Some(s) = self.sess.get_mut(&id).filter(|s| s.stage == Stage::Playing && s.rung == rung) else {
+        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.stage == Stage::Playing && s.rung == rung)
+        else {
             return;
         };
         s.rung = was;
-        if let Some(ToPlayer::Playing { rung: answered, .. }) = &mut s.answer {
+        if let Some(ToPlayer::Playing { rung: answered, .. }) = &mut s.final_answer {
             *answered = was;
         }
         let (key, sock) = (s.key.clone(), s.sock);
         self.round.measurements.push(Measurement::Rung { sess: SessId(id), rung: was });
-        self.say(sock, ToPlayer::Rung { key, rung: was });
+        self.send(sock, ToPlayer::Rung { key, rung: was });
     }
 
-    /// The node refused a SETUP, or its PLAY. Unless the SETUP was turned away without a look it may have run, so that it is
-    /// taken back before any other goes out.
-    fn refused(&mut self, id: u64, turned_away: bool, load: LoadReport) {
-        let Some(a) = self.sess.get(&id).and_then(|s| s.attempt.clone()) else { return };
-        let outcome = if turned_away { SetupOutcome::BusyReplied } else { SetupOutcome::Failed };
-        if !turned_away {
-            self.tear_down(id);
+    /// Handles a refused SETUP or PLAY. If the node refused the SETUP without starting it, a TEARDOWN is not needed.
+    /// Otherwise it may have run and is torn down before another SETUP is sent.
+    fn handle_refusal(&mut self, id: u64, not_started: bool, load: LoadReport) {
+        let Some(a) = self.sessions.get(&id).and_then(|s| s.attempt.clone()) else { return };
+        let outcome = if not_started { SetupOutcome::BusyReplied } else { SetupOutcome::Failed };
+        if !not_started {
+            self.send_teardown(id);
         }
-        self.leave(id, &a);
-        self.ended(id, a.node, outcome, false, load);
+        self.detach_from_link(id, &a);
+        self.report_ended(id, a.node, outcome, false, load);
     }
 
-    /// The session plays once SETUP and PLAY are both answered.
-    fn plays(&mut self, id: u64, asked: Option<LinkDemandHeader>) {
-        let Some(s) = self.sess.get(&id) else { return };
-        let Some(a) = s.attempt.as_ref().filter(|a| a.play_ok && a.rtsp.is_some()) else { return };
-        if s.stage != Stage::Asked {
+    /// Marks the session as playing once both SETUP and PLAY have succeeded.
+    fn start_playing(&mut self, id: u64, asked: Option<LinkDemandHeader>) {
+        let Some(s) = self.sessions.get(&id) else { return };
+        let Some(a) = s.attempt.as_ref().filter(|a| a.play_ok && a.rtsp_id.is_some()) else { return };
+        if s.stage != Stage::Pending {
             return;
         }
-        if self.now > s.deadline {
-            // We stood still while the answer lay there; the viewer has given up.
-            return self.give_up(id, SetupOutcome::TimedOut, false);
+        if self.now > s.player_deadline {
+            // This process was paused while the response waited; the viewer has given up.
+            return self.abandon_setup(id, SetupOutcome::TimedOut, false);
         }
-        let (node, took, rung, title) = (a.node, self.now - a.sent_at, s.rung, s.title_name.clone());
-        let (uri, resume_for) = (self.uri(node, &title), self.book.players.resume_for);
-        if let Some(s) = self.sess.get_mut(&id) {
+        let (node, took, rung, title) = (a.node, self.now - a.sent_at, s.rung, s.title.clone());
+        let (uri, resume_for) = (self.node_uri(node, &title), self.deployment.players.resume_for);
+        if let Some(s) = self.sessions.get_mut(&id) {
             s.stage = Stage::Playing;
-            self.owed -= 1;
+            self.pending -= 1;
         }
         self.round.playing.push(Playing { sess: SessId(id), node: NodeId(node), took });
         if let Some(asked) = asked {
-            self.reading(id, node, asked);
+            self.record_link_demand(id, node, asked);
         }
-        self.answer(id, |key| ToPlayer::Playing { key, uri, rung, resume_for });
-        self.watch_seat(id);
+        self.send_final(id, |key| ToPlayer::Playing { key, uri, rung, resume_for });
+        self.set_expiry_timer(id);
     }
 
-    fn reading(&mut self, id: u64, node: u32, asked: LinkDemandHeader) {
+    fn record_link_demand(&mut self, id: u64, node: u32, asked: LinkDemandHeader) {
         let (sess, node) = (SessId(id), NodeId(node));
         if let Some(asked) = asked.link {
             self.round.measurements.push(Measurement::Link { sess, node, asked });
@@ -853,20 +894,21 @@
         }
     }
 
-    fn torn_down(&mut self, id: u64, node: u32, load: LoadReport) {
-        let Some(s) = self.sess.get(&id).filter(|s| s.stage == Stage::Ending) else { return };
+    fn complete_teardown(&mut self, id: u64, node: u32, load: LoadReport) {
+        let Some(s) = self.sessions.get(&id).filter(|s| s.stage == Stage::TearingDown) else { return };
         let Some(a) = s.attempt.clone() else { return };
-        self.leave(id, &a);
-        self.ended(id, node, SetupOutcome::Served, true, load);
-        self.over(id);
+        self.detach_from_link(id, &a);
+        self.report_ended(id, node, SetupOutcome::Served, true, load);
+        self.finish(id);
     }
 
-    /// A request of the node's own.
-    fn noticed(&mut self, node: u32, r: Request) {
+    /// Handles a request that the node sent.
+    fn handle_node_request(&mut self, node: u32, r: Request) {
         let reply = |status| Message::Response(Response::new(status, r.cseq)).to_bytes();
         let Some(link) = self.links.get(&node) else { return };
         let number = link.number;
-        let sess = r.headers.get(header_names::SESSION).and_then(|s| link.by_rtsp.get(s.trim()).copied());
+        let sess =
+            r.headers.get(header_names::SESSION).and_then(|s| link.sess_by_rtsp_id.get(s.trim()).copied());
         let status = match (r.method, sess) {
             (Method::Options, _) => 200,
             (Method::PlayNotify, Some(_)) => 200,
@@ -875,7 +917,7 @@
         };
         self.effects.push(Effect::Node { node, link: number, bytes: reply(status) });
         let (Method::PlayNotify, Some(id)) = (r.method, sess) else { return };
-        if !self.sess.get(&id).is_some_and(|s| s.stage == Stage::Playing) {
+        if !self.sessions.get(&id).is_some_and(|s| s.stage == Stage::Playing) {
             return;
         }
         match r.headers.get(header_names::NOTIFY_REASON).unwrap_or("") {
@@ -888,40 +930,40 @@
             notify_reasons::LINK_LOAD => {
                 let asked =
                     r.headers.get(header_names::ASKED).map(LinkDemandHeader::parse).unwrap_or_default();
-                self.reading(id, node, asked);
+                self.record_link_demand(id, node, asked);
             }
             notify_reasons::END_OF_STREAM => {
-                self.tear_down(id);
-                if let Some(a) = self.sess.get(&id).and_then(|s| s.attempt.clone()) {
-                    self.leave(id, &a);
+                self.send_teardown(id);
+                if let Some(a) = self.sessions.get(&id).and_then(|s| s.attempt.clone()) {
+                    self.detach_from_link(id, &a);
                 }
-                self.ended(id, node, SetupOutcome::Served, true, load_of(&r.headers));
-                self.tell_ended(id, EndReason::Finished);
-                self.over(id);
+                self.report_ended(id, node, SetupOutcome::Served, true, load_report(&r.headers));
+                self.send_ended(id, EndReason::Finished);
+                self.finish(id);
             }
             other => {
-                let text = format!("node {node}: notice {other:?} is not known");
-                self.note(Some(id), text);
+                let text = format!("node {node}: unknown notify reason {other:?}");
+                self.log_line(Some(id), text);
             }
         }
     }
 
     // The roster.
 
-    /// A node's phase, as far as the agreed list lets it be used: nothing new goes to one that it lacks, drains or has
-    /// otherwise than the feed.
-    fn phase(&self, n: &RosterNode) -> Phase {
-        let Some(list) = &self.book.lists.nodes else { return n.phase };
+    /// The phase of a node, limited by the agreed list: a ready node counts as draining if the list lacks it, drains it
+    /// or differs from the roster in its zone, kind or cell.
+    fn effective_phase(&self, n: &RosterNode) -> Phase {
+        let Some(list) = &self.deployment.lists.nodes else { return n.phase };
         let as_agreed = list
             .get(&n.id)
             .is_some_and(|a| !a.drain && (&a.zone, &a.kind, a.cell) == (&n.zone, &n.kind, n.cell));
         if n.phase == Phase::Ready && !as_agreed { Phase::Draining } else { n.phase }
     }
 
-    /// Where a title lies: as agreed, where titles are, else as the feed has it.
-    fn lies(&self, title: &str) -> Option<RosterTitle> {
-        match &self.book.lists.titles {
-            None => self.list.titles.get(title).cloned(),
+    /// Returns the cells of a title, from the agreed titles if there are any, otherwise from the roster.
+    fn title_location(&self, title: &str) -> Option<RosterTitle> {
+        match &self.deployment.lists.titles {
+            None => self.roster.titles.get(title).cloned(),
             Some(all) => all.get(title).map(|t| RosterTitle {
                 name: t.name.clone(),
                 first_cell: t.first_cell,
@@ -930,30 +972,30 @@
         }
     }
 
-    /// Other rules: what they change of nodes is told as the feed's changes are.
-    fn rules(&mut self, book: Deployment, label: String) {
-        let nodes: Vec<RosterNode> = self.list.nodes.values().cloned().collect();
-        let before: Vec<Phase> = nodes.iter().map(|n| self.phase(n)).collect();
-        (self.book, self.label) = (book, label);
-        self.rules += 1;
-        let other = nodes.iter().zip(before).filter(|(n, was)| self.phase(n) != *was);
-        let other: Vec<ListedNode> = other.map(|(n, _)| self.listed(n)).collect();
+    /// Applies new rules. The placement logic learns changed node phases the same way as changes of the roster.
+    fn apply_rules(&mut self, book: Deployment, label: String) {
+        let nodes: Vec<RosterNode> = self.roster.nodes.values().cloned().collect();
+        let before: Vec<Phase> = nodes.iter().map(|n| self.effective_phase(n)).collect();
+        (self.deployment, self.rules_label) = (book, label);
+        self.rule_changes += 1;
+        let other = nodes.iter().zip(before).filter(|(n, was)| self.effective_phase(n) != *was);
+        let other: Vec<ListedNode> = other.map(|(n, _)| self.listed_node(n)).collect();
         if !other.is_empty() {
             let named: Vec<String> = other.iter().map(|l| format!("{} {:?}", l.node.0, l.phase)).collect();
-            self.note(None, format!("the agreed list: {}", named.join(", ")));
+            self.log_line(None, format!("changed by the agreed node list: {}", named.join(", ")));
             self.round.list_changes.push(ListChange::Changed(other));
-            self.relink();
+            self.update_links();
         }
     }
 
-    fn listed(&self, n: &RosterNode) -> ListedNode {
-        let f = &self.book.fleet;
+    fn listed_node(&self, n: &RosterNode) -> ListedNode {
+        let f = &self.deployment.fleet;
         ListedNode {
             node: NodeId(n.id),
             zone: f.zones.iter().position(|z| *z == n.zone).unwrap_or(0) as u16,
             kind: f.kinds.keys().position(|k| *k == n.kind).unwrap_or(0) as u8,
             cell: n.cell,
-            phase: match self.phase(n) {
+            phase: match self.effective_phase(n) {
                 Phase::Ready => ListPhase::Ready,
                 Phase::Draining => ListPhase::Draining,
                 Phase::Gone => ListPhase::Gone,
@@ -963,24 +1005,24 @@
         }
     }
 
-    fn cached(&mut self, list: RosterList) {
+    fn handle_cached_roster(&mut self, list: RosterList) {
         let (nodes, titles): (Vec<_>, Vec<_>) =
             (list.nodes.values().cloned().collect(), list.titles.values().cloned().collect());
-        if let Err(e) = crate::roster::check(&nodes, &titles, &self.book.fleet) {
-            return self.note(None, format!("the kept list is not used: {e}"));
+        if let Err(e) = crate::roster::check(&nodes, &titles, &self.deployment.fleet) {
+            return self.log_line(None, format!("cached roster list not used: {e}"));
         }
-        let lines = nodes.iter().map(|n| self.listed(n)).collect();
-        self.list = list;
+        let lines = nodes.iter().map(|n| self.listed_node(n)).collect();
+        self.roster = list;
         self.round.list_changes.push(ListChange::Cached(lines));
-        self.relink();
+        self.update_links();
     }
 
-    fn roster(&mut self, message: RosterMessage) {
-        let fleet = self.book.fleet.clone();
-        if let Err(e) = self.list.apply(&message, &fleet) {
-            self.note(None, format!("roster: {e}; the last good list stands"));
+    fn handle_roster(&mut self, message: RosterMessage) {
+        let fleet = self.deployment.fleet.clone();
+        if let Err(e) = self.roster.apply(&message, &fleet) {
+            self.log_line(None, format!("roster: {e}; keeping the last valid list"));
             if matches!(message, RosterMessage::Change { .. }) {
-                // What it changed is missing from now on, so all of it is asked for.
+                // The list now lacks this change, so the core requests a complete list.
                 self.effects.push(Effect::RequestRoster(RosterRequest::Whole));
             }
             return;
@@ -988,47 +1030,50 @@
         let change = match &message {
             RosterMessage::Failed => ListChange::Unanswered,
             RosterMessage::Whole { nodes, .. } => {
-                ListChange::Whole(nodes.iter().map(|n| self.listed(n)).collect())
+                ListChange::Whole(nodes.iter().map(|n| self.listed_node(n)).collect())
             }
             RosterMessage::Change { nodes, .. } => {
-                ListChange::Changed(nodes.iter().map(|n| self.listed(n)).collect())
+                ListChange::Changed(nodes.iter().map(|n| self.listed_node(n)).collect())
             }
         };
         self.round.list_changes.push(change);
         let (RosterMessage::Whole { nodes, .. } | RosterMessage::Change { nodes, .. }) = &message else {
             return;
         };
-        let kept_off = nodes.iter().filter(|n| self.phase(n) != n.phase).map(|n| n.id.to_string());
-        let kept_off = kept_off.collect::<Vec<_>>().join(", ");
-        if !kept_off.is_empty() {
-            self.note(None, format!("not as the agreed list has them, nothing new goes there: {kept_off}"));
+        let differing = nodes.iter().filter(|n| self.effective_phase(n) != n.phase).map(|n| n.id.to_string());
+        let differing = differing.collect::<Vec<_>>().join(", ");
+        if !differing.is_empty() {
+            self.log_line(
+                None,
+                format!("nodes differ from the agreed list, no new sessions there: {differing}"),
+            );
         }
-        self.relink();
-        if !self.saving {
-            self.saving = true;
-            self.timers.set(self.now + SAVE_EVERY, Timer::SaveList);
+        self.update_links();
+        if !self.save_scheduled {
+            self.save_scheduled = true;
+            self.timers.set(self.now + MIN_SAVE_INTERVAL, Timer::SaveList);
         }
     }
 
-    /// Brings links into line with the list.
-    fn relink(&mut self) {
+    /// Opens and closes links so that they match the node list.
+    fn update_links(&mut self) {
         let gone: Vec<u32> =
-            self.links.keys().copied().filter(|id| !self.list.nodes.contains_key(id)).collect();
+            self.links.keys().copied().filter(|id| !self.roster.nodes.contains_key(id)).collect();
         for node in gone {
             self.drop_link(node);
         }
-        let nodes: Vec<RosterNode> = self.list.nodes.values().cloned().collect();
+        let nodes: Vec<RosterNode> = self.roster.nodes.values().cloned().collect();
         for n in nodes {
             if self.links.get(&n.id).is_some_and(|l| l.address != n.address) {
                 self.drop_link(n.id);
             }
-            if self.phase(&n) == Phase::Ready {
+            if self.effective_phase(&n) == Phase::Ready {
                 self.links.entry(n.id).or_insert_with(|| Link::new(n.address));
                 self.dial_if_new(n.id);
             } else if let Some(link) = self.links.get_mut(&n.id) {
-                // What has not gone out to it yet must not go out any more.
-                let waiting = std::mem::take(&mut link.waiting);
-                waiting.into_iter().for_each(|id| self.give_up(id, SetupOutcome::NeverSent, false));
+                // SETUPs that still wait for the connection must not be sent to a node that is not ready.
+                let waiting = std::mem::take(&mut link.waiting_setups);
+                waiting.into_iter().for_each(|id| self.abandon_setup(id, SetupOutcome::NeverSent, false));
             }
         }
     }
@@ -1042,141 +1087,165 @@
     fn drop_link(&mut self, node: u32) {
         if let Some(link) = self.links.get(&node) {
             let number = link.number;
-            self.lose(node, number, true);
+            self.close_link(node, number, true);
             self.links.remove(&node);
         }
     }
 
     // Time.
 
-    fn fire(&mut self, timer: Timer) {
+    fn handle_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::SetupDue { sess, number } => {
-                let out = self.sess.get(&sess).filter(|s| s.stage == Stage::Asked);
+            Timer::SetupTimeout { sess, number } => {
+                let out = self.sessions.get(&sess).filter(|s| s.stage == Stage::Pending);
                 if out.and_then(|s| s.attempt.as_ref()).is_some_and(|a| a.number == number) {
-                    self.give_up(sess, SetupOutcome::TimedOut, false);
+                    self.abandon_setup(sess, SetupOutcome::TimedOut, false);
                 }
             }
-            Timer::AnswerDue { sess } => {
-                let owed = self.sess.get(&sess).filter(|s| s.stage == Stage::Asked);
-                if owed.is_some_and(|s| s.wanted.is_some()) {
-                    // Still waiting for its seat: nothing ran.
-                    let come_back = self.book.director.come_back;
-                    self.answer(sess, |key| ToPlayer::Busy { key, come_back });
-                    return self.over(sess);
+            Timer::AnswerDeadline { sess } => {
+                let owed = self.sessions.get(&sess).filter(|s| s.stage == Stage::Pending);
+                if owed.is_some_and(|s| s.request.is_some()) {
+                    // The request still waits for its seat; no SETUP was sent.
+                    let come_back = self.deployment.director.come_back;
+                    self.send_final(sess, |key| ToPlayer::Busy { key, come_back });
+                    return self.finish(sess);
                 }
                 match owed.map(|s| s.attempt.is_some()) {
                     None => {}
-                    Some(true) => self.give_up(sess, SetupOutcome::TimedOut, false),
-                    // Its ending is on the way to the decisions: they answer in this round.
+                    Some(true) => self.abandon_setup(sess, SetupOutcome::TimedOut, false),
+                    // The end of its last SETUP is queued for the placement logic, which answers in this round.
                     Some(false) if self.round.ended.iter().any(|e| e.sess == SessId(sess)) => {
-                        self.timers.set(self.now + LEAST_LEFT, Timer::AnswerDue { sess });
+                        self.timers.set(self.now + MIN_TIME_LEFT, Timer::AnswerDeadline { sess });
                     }
                     Some(false) => {
-                        // The decisions left it with nothing out: they never should, and it is answered all
-                        // the same.
-                        self.effects
-                            .push(Effect::Fault(format!("session {sess} was left without an answer")));
+                        // The placement logic left it without an outstanding SETUP. That is a fault, but the
+                        // request must be answered all the same.
+                        self.effects.push(Effect::Fault(format!(
+                            "session {sess} has neither an outstanding SETUP nor an answer at its deadline"
+                        )));
                         self.round.departures.push(SessId(sess));
-                        self.answer(sess, |key| ToPlayer::Failed { key, why: FailureReason::NoAnswer });
-                        self.over(sess);
+                        self.send_final(sess, |key| ToPlayer::Failed { key, why: FailureReason::NoAnswer });
+                        self.finish(sess);
                     }
                 }
             }
-            Timer::SeatEnds { sess } => self.warn_expiring(sess),
-            Timer::Resume { sess, losses } => {
-                if self.sess.get(&sess).is_some_and(|s| s.sock.is_none() && s.losses == losses) {
-                    self.stop(sess);
+            Timer::TokenExpiring { sess } => self.warn_expiring(sess),
+            Timer::ResumeTimeout { sess, socket_changes } => {
+                if self
+                    .sessions
+                    .get(&sess)
+                    .is_some_and(|s| s.sock.is_none() && s.socket_changes == socket_changes)
+                {
+                    self.stop_session(sess);
                 }
             }
-            Timer::TornDown { sess } => {
-                if let Some(node) = self.sess.get(&sess).and_then(|s| s.attempt.as_ref().map(|a| a.node)) {
-                    self.torn_down(sess, node, LoadReport::default());
+            Timer::TeardownTimeout { sess } => {
+                if let Some(node) = self.sessions.get(&sess).and_then(|s| s.attempt.as_ref().map(|a| a.node))
+                {
+                    self.complete_teardown(sess, node, LoadReport::default());
                 }
             }
             Timer::Forget { sess } => {
-                if self.sess.get(&sess).is_some_and(|s| s.stage == Stage::Over) {
-                    // The oldest, for all are kept equally long, unless the bound came first.
-                    if self.over.front() == Some(&sess) {
-                        self.over.pop_front();
+                if self.sessions.get(&sess).is_some_and(|s| s.stage == Stage::Finished) {
+                    // This is the oldest one, since all are kept equally long, unless the limit removed it earlier.
+                    if self.finished.front() == Some(&sess) {
+                        self.finished.pop_front();
                     }
                     self.forget(sess);
                 }
             }
-            Timer::ConnectDue { node, link } => {
-                if self.links.get(&node).is_some_and(|l| l.number == link && l.line == Line::Dialling) {
+            Timer::ConnectTimeout { node, link } => {
+                if self
+                    .links
+                    .get(&node)
+                    .is_some_and(|l| l.number == link && l.connection == ConnectionState::Connecting)
+                {
                     self.effects.push(Effect::Disconnect { node, link });
-                    self.unreached(node);
+                    self.handle_connect_failure(node);
                 }
             }
             Timer::Redial { node, link } => {
-                let ready = self.list.nodes.get(&node).is_some_and(|n| self.phase(n) == Phase::Ready);
-                if ready && !self.closing && self.links.get(&node).is_some_and(|l| l.number == link) {
+                let ready =
+                    self.roster.nodes.get(&node).is_some_and(|n| self.effective_phase(n) == Phase::Ready);
+                if ready && !self.shutting_down && self.links.get(&node).is_some_and(|l| l.number == link) {
                     self.dial(node);
                 }
             }
-            Timer::Look { node, link } => self.look(node, link),
-            Timer::Choked { node, link } => {
-                self.note(
+            Timer::CheckLiveness { node, link } => self.check_liveness(node, link),
+            Timer::TooManyOutstanding { node, link } => {
+                self.log_line(
                     None,
-                    format!("node {node}: {MAX_OUT} requests without an answer, closing its link"),
+                    format!("node {node}: {MAX_OUTSTANDING_REQUESTS} requests without a response; closing its link"),
                 );
-                self.lose(node, link, true);
+                self.close_link(node, link, true);
             }
-            Timer::SaveList => self.save(),
+            Timer::SaveList => self.save_list(),
         }
     }
 
-    fn save(&mut self) {
-        if std::mem::take(&mut self.saving) {
-            self.effects.push(Effect::SaveList(Box::new(self.list.clone())));
+    fn save_list(&mut self) {
+        if std::mem::take(&mut self.save_scheduled) {
+            self.effects.push(Effect::SaveList(Box::new(self.roster.clone())));
         }
     }
 
-    /// Whether a link with something on it still lives.
-    fn look(&mut self, node: u32, number: u64) {
-        let (quiet, dead) = (self.book.node_links.quiet, self.book.node_links.dead_after);
+    /// Checks the liveness of a link: closes it if it has work and is silent for too long, probes it if it is quiet.
+    fn check_liveness(&mut self, node: u32, number: u64) {
+        let (quiet, dead) = (self.deployment.node_links.quiet, self.deployment.node_links.dead_after);
         let now = self.now;
-        let Some(l) = self.links.get_mut(&node).filter(|l| l.number == number && l.line == Line::Up) else {
+        let Some(l) = self
+            .links
+            .get_mut(&node)
+            .filter(|l| l.number == number && l.connection == ConnectionState::Connected)
+        else {
             return;
         };
-        let silence = now - l.heard;
-        if (!l.sessions.is_empty() || !l.out.is_empty()) && silence > dead {
-            self.note(None, format!("node {node}: nothing heard for {silence:.1} s, closing its link"));
-            return self.lose(node, number, true);
-        }
-        if silence > quiet && now - l.asked_at > quiet {
-            l.asked_at = now;
-            let uri = self.uri(node, "");
-            self.request(node, Asked::Probe { told: false }, Method::GetParameter, &uri, &[]);
-        }
-        self.timers.set(now + quiet / 2.0, Timer::Look { node, link: number });
-    }
-
-    /// On the way out: when no answer is owed any more, what plays is ended, and then all is done.
-    fn close_down(&mut self) {
-        if !self.closing || self.done || self.owed > 0 {
+        let silence = now - l.last_received_at;
+        if (!l.sessions.is_empty() || !l.outstanding.is_empty()) && silence > dead {
+            self.log_line(
+                None,
+                format!("node {node}: nothing received for {silence:.1} s; closing its link"),
+            );
+            return self.close_link(node, number, true);
+        }
+        if silence > quiet && now - l.last_probe_at > quiet {
+            l.last_probe_at = now;
+            let uri = self.node_uri(node, "");
+            self.send_request(
+                node,
+                RequestPurpose::Probe { requested: false },
+                Method::GetParameter,
+                &uri,
+                &[],
+            );
+        }
+        self.timers.set(now + quiet / 2.0, Timer::CheckLiveness { node, link: number });
+    }
+
+    /// Continues a shutdown: once no answer is pending, tears down playing sessions and reports completion.
+    fn continue_shutdown(&mut self) {
+        if !self.shutting_down || self.done || self.pending > 0 {
             return;
         }
-        self.save();
+        self.save_list();
         let playing: Vec<u64> =
-            self.sess.iter().filter(|(_, s)| s.stage == Stage::Playing).map(|(id, _)| *id).collect();
+            self.sessions.iter().filter(|(_, s)| s.stage == Stage::Playing).map(|(id, _)| *id).collect();
         for id in playing {
-            self.tear_down(id);
-            self.tell_ended(id, EndReason::Closing);
-            self.over(id);
+            self.send_teardown(id);
+            self.send_ended(id, EndReason::Closing);
+            self.finish(id);
         }
         self.done = true;
         self.effects.push(Effect::Done);
     }
 }
 
-impl Orders for Hands {
+impl Orders for CoreState {
     fn set_rung(&mut self, sess: SessId, rung: u8) {
-        let may = self.may_begin();
-        let Some(s) = self.sess.get_mut(&sess.0) else { return };
+        let may = self.lease_valid();
+        let Some(s) = self.sessions.get_mut(&sess.0) else { return };
         if s.stage == Stage::Playing && !may {
-            // Floors may have changed meanwhile: what plays stays as it is.
+            // Without a lease the floors may have changed meanwhile, so a playing session keeps its rung.
             let rung = s.rung;
             return self.round.measurements.push(Measurement::Rung { sess, rung });
         }
@@ -1185,93 +1254,93 @@
             return;
         }
         let (key, sock) = (s.key.clone(), s.sock);
-        if let Some(ToPlayer::Playing { rung: answered, .. }) = &mut s.answer {
-            // A retry hears the rung in force.
+        if let Some(ToPlayer::Playing { rung: answered, .. }) = &mut s.final_answer {
+            // A retry receives the rung in force.
             *answered = rung;
         }
         let Some(a) = s.attempt.clone() else { return };
-        let Some(rtsp) = a.rtsp else { return };
-        let uri = self.uri(a.node, "");
-        let with = [(header_names::SESSION, rtsp), (header_names::RUNG, rung.to_string())];
-        self.next_pipe += 1;
-        let name = self.next_pipe;
-        let asked = Asked::Rung { sess: sess.0, rung, was, name };
-        self.request(a.node, asked, Method::SetParameter, &uri, &with);
-        self.say(sock, ToPlayer::Rung { key, rung });
+        let Some(rtsp_id) = a.rtsp_id else { return };
+        let uri = self.node_uri(a.node, "");
+        let with = [(header_names::SESSION, rtsp_id), (header_names::RUNG, rung.to_string())];
+        self.next_batch += 1;
+        let batch = self.next_batch;
+        let asked = RequestPurpose::Rung { sess: sess.0, rung, was, batch };
+        self.send_request(a.node, asked, Method::SetParameter, &uri, &with);
+        self.send(sock, ToPlayer::Rung { key, rung });
     }
 
     fn send_setup(&mut self, sess: SessId, node: NodeId, wait: Option<f64>) {
         let (id, now) = (sess.0, self.now);
-        self.next_pipe += 1;
-        let pipe = self.next_pipe;
-        let free = |s: &&mut Session| s.stage == Stage::Asked && s.attempt.is_none();
-        let Some(s) = self.sess.get_mut(&id).filter(free) else {
-            // Never two out, whatever is ordered.
-            return self
-                .effects
-                .push(Effect::Fault(format!("a SETUP was ordered for session {id} out of turn")));
+        self.next_batch += 1;
+        let batch = self.next_batch;
+        let free = |s: &&mut Session| s.stage == Stage::Pending && s.attempt.is_none();
+        let Some(s) = self.sessions.get_mut(&id).filter(free) else {
+            // A session never has two outstanding SETUPs, whatever the placement logic orders.
+            return self.effects.push(Effect::Fault(format!(
+                "SETUP ordered for session {id}, which is not pending or already has one"
+            )));
         };
-        let number = s.setups;
-        s.setups = s.setups.saturating_add(1);
+        let number = s.setup_count;
+        s.setup_count = s.setup_count.saturating_add(1);
         let attempt = Attempt {
             number,
             node: node.0,
             link: 0,
-            pipe,
-            rules: self.rules,
+            batch,
+            rule_changes: self.rule_changes,
             sent: false,
             sent_at: now,
-            rtsp: None,
+            rtsp_id: None,
             play_ok: false,
         };
         s.attempt = Some(attempt);
         if let Some(wait) = wait {
-            self.timers.set(now + wait, Timer::SetupDue { sess: id, number });
+            self.timers.set(now + wait, Timer::SetupTimeout { sess: id, number });
         }
-        if !self.may_begin() {
-            return self.barred(id);
+        if !self.lease_valid() {
+            return self.reject_without_lease(id);
         }
         let Some(link) = self.links.get_mut(&node.0) else {
-            return self.give_up(id, SetupOutcome::Unreachable, false);
+            return self.abandon_setup(id, SetupOutcome::Unreachable, false);
         };
         link.sessions.insert(id);
-        let up = link.line == Line::Up;
-        self.note(Some(id), format!("SETUP {number} to node {}", node.0));
+        let up = link.connection == ConnectionState::Connected;
+        self.log_line(Some(id), format!("SETUP {number} to node {}", node.0));
         let Some(link) = self.links.get_mut(&node.0) else { return };
         if up {
-            self.send(id);
+            self.write_setup(id);
         } else {
-            link.waiting.push(id);
+            link.waiting_setups.push(id);
             self.dial(node.0);
         }
     }
 
     fn withdraw(&mut self, sess: SessId, setup: u8) {
-        let out = self.sess.get(&sess.0).filter(|s| s.stage == Stage::Asked);
+        let out = self.sessions.get(&sess.0).filter(|s| s.stage == Stage::Pending);
         if out.and_then(|s| s.attempt.as_ref()).is_some_and(|a| a.number == setup) {
-            self.give_up(sess.0, SetupOutcome::Withdrawn, false);
+            self.abandon_setup(sess.0, SetupOutcome::Withdrawn, false);
         }
     }
 
     fn reply_busy(&mut self, sess: SessId, come_back: Option<f64>) {
-        self.answer(sess.0, |key| ToPlayer::Busy { key, come_back });
-        self.over(sess.0);
+        self.send_final(sess.0, |key| ToPlayer::Busy { key, come_back });
+        self.finish(sess.0);
     }
 
     fn reply_failed(&mut self, sess: SessId) {
-        self.answer(sess.0, |key| ToPlayer::Failed { key, why: FailureReason::NoAnswer });
-        self.over(sess.0);
+        self.send_final(sess.0, |key| ToPlayer::Failed { key, why: FailureReason::NoAnswer });
+        self.finish(sess.0);
     }
 
     fn shift(&mut self, sess: SessId) {
         let id = sess.0;
-        let Some(s) = self.sess.get(&id).filter(|s| s.stage == Stage::Playing) else { return };
+        let Some(s) = self.sessions.get(&id).filter(|s| s.stage == Stage::Playing) else { return };
         let Some(a) = s.attempt.clone() else { return };
-        self.tear_down(id);
-        self.leave(id, &a);
-        self.ended(id, a.node, SetupOutcome::Withdrawn, true, LoadReport::default());
-        self.tell_ended(id, EndReason::Shifted);
-        self.over(id);
+        self.send_teardown(id);
+        self.detach_from_link(id, &a);
+        self.report_ended(id, a.node, SetupOutcome::Withdrawn, true, LoadReport::default());
+        self.send_ended(id, EndReason::Shifted);
+        self.finish(id);
     }
 
     fn subscribe(&mut self, on: bool) {
@@ -1283,23 +1352,26 @@
     }
 
     fn probe(&mut self, node: NodeId) {
-        let uri = self.uri(node.0, "");
-        self.request(node.0, Asked::Probe { told: true }, Method::GetParameter, &uri, &[]);
+        let uri = self.node_uri(node.0, "");
+        self.send_request(node.0, RequestPurpose::Probe { requested: true }, Method::GetParameter, &uri, &[]);
     }
 
     fn close_idle_connections(&mut self, node: NodeId) {
-        let idle = self.links.get(&node.0).filter(|l| l.line == Line::Up && l.sessions.is_empty());
+        let idle = self
+            .links
+            .get(&node.0)
+            .filter(|l| l.connection == ConnectionState::Connected && l.sessions.is_empty());
         if let Some(number) = idle.map(|l| l.number) {
-            self.lose(node.0, number, true);
+            self.close_link(node.0, number, true);
         }
     }
 
     fn send_message(&mut self, _director: Option<u16>, _message: &[u8]) {
-        self.note(None, "directors do not talk to each other here");
+        self.log_line(None, "messages between directors are not supported");
     }
 
     fn log(&mut self, line: &str) {
-        self.note(None, line);
+        self.log_line(None, line);
     }
 
     fn report_fault(&mut self, why: &str) {
@@ -1308,6 +1380,6 @@
 
     fn wake_after(&mut self, after: f64) {
         let at = self.now + after;
-        self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
+        self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at)));
     }
 }
--- a/crates/kelpdoor-director/src/core/seats.rs
+++ b/crates/kelpdoor-director/src/core/seats.rs
@@ -1,8 +1,8 @@
-//! Sessions that need a token and a seat: the way of a request from its token to the decisions, and what becomes of
-//! a session whose seat ends. The seats themselves are the [`Holder`](kelpdoor_seats::Holder)'s.
+//! Sessions that need a token and a seat: from the check of the token until the placement logic gets the request, and
+//! the end of sessions that lose their seat. [`Holder`](kelpdoor_seats::Holder) manages the seats themselves.
 //!
-//! A request with a good token waits for its seat, half of its time at most, and is answered `busy` without one.
-//! A seat goes with the latest request that shows its token: the one before it is ended.
+//! A request with a valid token waits for its seat for at most half of its time and is answered `busy` without one.
+//! A seat belongs to the latest request that shows its token: the session that had it before is ended.
 
 use kelpdoor::ids::SessId;
 use kelpdoor::round::SetupOutcome;
@@ -10,42 +10,43 @@
 use kelpdoor_seats::{self as seats, Holder, Output, RefusalReason, School, TokenId};
 use kelpdoor_tokens::Entitlement;
 
-use super::Hands;
+use super::CoreState;
 use crate::effect::{Effect, TokenCheck};
 use crate::session::{Seat, Stage};
 use crate::timers::Timer;
 
 const EXPIRED: &str = "the token has expired: ask for a new one";
 
-/// One seat of a school.
-pub(super) type SeatName = (School, TokenId);
+/// Identifies a seat: the school and the token that claims it.
+pub(super) type SeatId = (School, TokenId);
 
-impl Hands {
-    /// A message that came with a token.
+impl CoreState {
+    /// Handles a message that came with a token.
     pub(super) fn player_with_token(
-        &mut self, sock: u64, message: FromPlayer, waited: f64, shown: TokenCheck,
+        &mut self, sock: u64, message: FromPlayer, waited: f64, check: TokenCheck,
     ) {
         match message {
-            FromPlayer::Renew { key, .. } => self.renew(sock, &key, shown),
-            message => self.player(sock, message, waited, shown),
+            FromPlayer::Renew { key, .. } => self.renew_token(sock, &key, check),
+            message => self.handle_player(sock, message, waited, check),
         }
     }
 
-    /// What of the token allows a session of the group, or the error that its player gets.
-    pub(super) fn entitled(
-        &self, group: usize, shown: TokenCheck,
+    /// Returns the entitlement that a session of the group needs, `None` if the group needs none, or the error for the
+    /// player.
+    pub(super) fn check_entitlement(
+        &self, group: usize, check: TokenCheck,
     ) -> Result<Option<Entitlement>, (ErrorCode, String)> {
-        let group = &self.book.groups[group];
+        let group = &self.deployment.groups[group];
         if !group.token || self.holder.is_none() {
             return Ok(None);
         }
-        match shown {
+        match check {
             TokenCheck::Missing => {
                 Err((ErrorCode::TokenMissing, format!("group {:?} needs a token", group.name)))
             }
             TokenCheck::Refused(why) => Err((ErrorCode::TokenRefused, why)),
             TokenCheck::TooFast => Err((ErrorCode::TooFast, "too many tokens a second".to_owned())),
-            // It lay in line for that long.
+            // The token expired while the message waited in the queue.
             TokenCheck::Valid(e) if e.expires <= self.now => {
                 Err((ErrorCode::TokenRefused, EXPIRED.to_owned()))
             }
@@ -57,157 +58,169 @@
         }
     }
 
-    /// Asks for a session's seat; the answer may come at once.
-    pub(super) fn ask_seat(&mut self, id: u64, left: f64, e: Entitlement) {
+    /// Requests a seat for a session. The holder may answer at once.
+    pub(super) fn request_seat(&mut self, id: u64, left: f64, e: Entitlement) {
         let now = self.now;
-        // What time has brought comes first: a lease that ran out while we stood still gives nothing any more.
-        self.seats_tick();
-        let name: SeatName = (e.school, e.token);
-        if let Some(s) = self.sess.get_mut(&id) {
-            s.seat = Some(Seat { name: name.clone(), expires: e.expires, waiting: true, watched: false });
+        // Timers first: a lease that expired while this process was paused must not grant a seat.
+        self.tick_holder();
+        let seat_id: SeatId = (e.school, e.token);
+        if let Some(s) = self.sessions.get_mut(&id) {
+            s.seat = Some(Seat {
+                id: seat_id.clone(),
+                expires: e.expires,
+                waiting: true,
+                expiry_timer_set: false,
+            });
         }
-        if let Some(before) = self.seat_of.insert(name.clone(), id) {
-            self.lose_seat(before, seats::EndReason::Moved);
+        if let Some(before) = self.sess_by_seat.insert(seat_id.clone(), id) {
+            self.seat_lost(before, seats::EndReason::Moved);
         }
         let Some(holder) = &mut self.holder else { return };
-        let out = holder.request_seat(now, &name.0, &name.1, e.expires, left);
-        self.seats_out(out);
+        let outputs = holder.request_seat(now, &seat_id.0, &seat_id.1, e.expires, left);
+        self.apply_holder_outputs(outputs);
     }
 
-    fn renew(&mut self, sock: u64, key: &RequestKey, shown: TokenCheck) {
-        let e = match shown {
+    fn renew_token(&mut self, sock: u64, key: &RequestKey, check: TokenCheck) {
+        let e = match check {
             TokenCheck::Valid(e) if e.expires <= self.now => {
-                return self.error(sock, key, ErrorCode::TokenRefused, EXPIRED);
+                return self.send_error(sock, key, ErrorCode::TokenRefused, EXPIRED);
             }
             TokenCheck::Valid(e) => e,
-            TokenCheck::Refused(why) => return self.error(sock, key, ErrorCode::TokenRefused, why),
+            TokenCheck::Refused(why) => return self.send_error(sock, key, ErrorCode::TokenRefused, why),
             TokenCheck::TooFast => {
-                return self.error(sock, key, ErrorCode::TooFast, "too many tokens a second");
+                return self.send_error(sock, key, ErrorCode::TooFast, "too many tokens a second");
+            }
+            TokenCheck::Missing => {
+                return self.send_error(sock, key, ErrorCode::TokenMissing, "no token came");
             }
-            TokenCheck::Missing => return self.error(sock, key, ErrorCode::TokenMissing, "no token came"),
         };
-        self.seats_tick();
-        let Some(&id) = self.keys.get(key) else {
-            return self.error(sock, key, ErrorCode::UnknownKey, "no session has this key");
+        self.tick_holder();
+        let Some(&id) = self.sess_by_key.get(key) else {
+            return self.send_error(sock, key, ErrorCode::UnknownKey, "no session has this key");
         };
         let now = self.now;
-        let live = self.sess.get_mut(&id).filter(|s| matches!(s.stage, Stage::Asked | Stage::Playing));
+        let live = self.sessions.get_mut(&id).filter(|s| matches!(s.stage, Stage::Pending | Stage::Playing));
         let Some(seat) = live.and_then(|s| s.seat.as_mut()) else {
-            return self.error(sock, key, ErrorCode::UnknownKey, "no session with a seat has this key");
+            return self.send_error(sock, key, ErrorCode::UnknownKey, "no session with a seat has this key");
         };
-        if seat.name != (e.school.clone(), e.token.clone()) {
+        if seat.id != (e.school.clone(), e.token.clone()) {
             let what = "the token is not a renewal of the session's: its school or id is another";
-            return self.error(sock, key, ErrorCode::TokenRefused, what);
+            return self.send_error(sock, key, ErrorCode::TokenRefused, what);
         }
         if e.expires > seat.expires {
             seat.expires = e.expires;
         }
         let (waiting, lasts) = (seat.waiting, seat.expires - now);
-        self.bind(id, sock);
+        self.attach_socket(id, sock);
         let Some(holder) = &mut self.holder else { return };
-        let out = holder.request_seat(now, &e.school, &e.token, e.expires, f64::INFINITY);
+        let outputs = holder.request_seat(now, &e.school, &e.token, e.expires, f64::INFINITY);
         if !waiting {
-            self.watch_seat(id);
+            self.set_expiry_timer(id);
         }
-        self.say(Some(sock), ToPlayer::Renewed { key: key.clone(), lasts });
-        self.seats_out(out);
+        self.send(Some(sock), ToPlayer::Renewed { key: key.clone(), lasts });
+        self.apply_holder_outputs(outputs);
     }
 
-    /// Sets when the player is told that its token runs out. One timer for a session, however often it is renewed.
-    pub(super) fn watch_seat(&mut self, id: u64) {
-        let warn = self.book.tokens.as_ref().map_or(0.0, |t| t.warn);
-        let playing = self.sess.get_mut(&id).filter(|s| s.stage == Stage::Playing);
-        if let Some(seat) = playing.and_then(|s| s.seat.as_mut()).filter(|seat| !seat.watched) {
-            seat.watched = true;
-            self.timers.set((seat.expires - warn).max(self.now), Timer::SeatEnds { sess: id });
+    /// Sets the timer that warns the player before its token expires. A session has one such timer, however often its
+    /// token is renewed.
+    pub(super) fn set_expiry_timer(&mut self, id: u64) {
+        let warn = self.deployment.tokens.as_ref().map_or(0.0, |t| t.warn);
+        let playing = self.sessions.get_mut(&id).filter(|s| s.stage == Stage::Playing);
+        if let Some(seat) = playing.and_then(|s| s.seat.as_mut()).filter(|seat| !seat.expiry_timer_set) {
+            seat.expiry_timer_set = true;
+            self.timers.set((seat.expires - warn).max(self.now), Timer::TokenExpiring { sess: id });
         }
     }
 
     pub(super) fn warn_expiring(&mut self, id: u64) {
-        let warn = self.book.tokens.as_ref().map_or(0.0, |t| t.warn);
-        let Some(s) = self.sess.get_mut(&id).filter(|s| s.stage == Stage::Playing) else { return };
+        let warn = self.deployment.tokens.as_ref().map_or(0.0, |t| t.warn);
+        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.stage == Stage::Playing) else { return };
         let Some(seat) = s.seat.as_mut() else { return };
-        seat.watched = false;
+        seat.expiry_timer_set = false;
         let after = seat.expires - self.now;
         if after > warn {
-            // Renewed since.
-            return self.watch_seat(id);
+            // The token was renewed in the meantime.
+            return self.set_expiry_timer(id);
         }
         let (sock, key) = (s.sock, s.key.clone());
         if after > 0.0 {
-            self.say(sock, ToPlayer::Expiring { key, after });
+            self.send(sock, ToPlayer::Expiring { key, after });
         }
     }
 
-    pub(super) fn seats_tick(&mut self) {
-        let out = self.holder.as_mut().map(|h| h.tick(self.now)).unwrap_or_default();
-        self.seats_out(out);
+    pub(super) fn tick_holder(&mut self) {
+        let outputs = self.holder.as_mut().map(|h| h.tick(self.now)).unwrap_or_default();
+        self.apply_holder_outputs(outputs);
     }
 
-    /// Does what the holder says.
-    pub(super) fn seats_out(&mut self, out: Vec<Output>) {
-        for o in out {
-            match o {
-                Output::Send(word) => self.effects.push(Effect::Keeper(word)),
-                Output::Granted { school, token } => match self.seat_of.get(&(school.clone(), token.clone()))
-                {
-                    Some(&id) => self.seated(id),
-                    None => {
-                        let back = self.holder.as_mut().map(|h| h.release(self.now, &school, &token));
-                        self.seats_out(back.unwrap_or_default());
+    /// Carries out the outputs of the holder.
+    pub(super) fn apply_holder_outputs(&mut self, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
+                Output::Send(request) => self.effects.push(Effect::Keeper(request)),
+                Output::Granted { school, token } => {
+                    match self.sess_by_seat.get(&(school.clone(), token.clone())) {
+                        Some(&id) => self.seat_granted(id),
+                        None => {
+                            let outputs = self.holder.as_mut().map(|h| h.release(self.now, &school, &token));
+                            self.apply_holder_outputs(outputs.unwrap_or_default());
+                        }
                     }
-                },
+                }
                 Output::Refused { school, token, why } => {
-                    if let Some(id) = self.seat_of.remove(&(school, token)) {
-                        self.no_seat(id, why);
+                    if let Some(id) = self.sess_by_seat.remove(&(school, token)) {
+                        self.seat_refused(id, why);
                     }
                 }
                 Output::Ended { school, token, why } => {
-                    if let Some(id) = self.seat_of.remove(&(school, token)) {
-                        self.lose_seat(id, why);
+                    if let Some(id) = self.sess_by_seat.remove(&(school, token)) {
+                        self.seat_lost(id, why);
                     }
                 }
             }
         }
     }
 
-    /// A request has its seat: the decisions get it, unless it had it before.
-    fn seated(&mut self, id: u64) {
-        let Some(seat) = self.sess.get_mut(&id).and_then(|s| s.seat.as_mut()) else { return };
+    /// Passes a request to the placement logic when its seat is granted for the first time.
+    fn seat_granted(&mut self, id: u64) {
+        let Some(seat) = self.sessions.get_mut(&id).and_then(|s| s.seat.as_mut()) else { return };
         if std::mem::replace(&mut seat.waiting, false) {
             self.admit(id);
         }
     }
 
-    fn no_seat(&mut self, id: u64, why: RefusalReason) {
-        let most = self.book.director.come_back;
-        if let Some(s) = self.sess.get_mut(&id) {
+    fn seat_refused(&mut self, id: u64, why: RefusalReason) {
+        let max_come_back = self.deployment.director.come_back;
+        if let Some(s) = self.sessions.get_mut(&id) {
             s.seat = None;
         }
         match why {
             RefusalReason::Full { come_back } => {
-                let come_back = Some(most.map_or(come_back, |most| come_back.min(most)));
-                self.answer(id, |key| ToPlayer::Busy { key, come_back });
+                let come_back =
+                    Some(max_come_back.map_or(come_back, |max_come_back| come_back.min(max_come_back)));
+                self.send_final(id, |key| ToPlayer::Busy { key, come_back });
+            }
+            RefusalReason::NoKeeper => {
+                self.send_final(id, |key| ToPlayer::Busy { key, come_back: max_come_back })
             }
-            RefusalReason::NoKeeper => self.answer(id, |key| ToPlayer::Busy { key, come_back: most }),
             RefusalReason::Expired => {
-                self.answer(id, |key| ToPlayer::Failed { key, why: FailureReason::Expired });
+                self.send_final(id, |key| ToPlayer::Failed { key, why: FailureReason::Expired });
             }
         }
-        self.over(id);
+        self.finish(id);
     }
 
-    /// A session's seat is no more its own: it ends, wherever it is.
-    fn lose_seat(&mut self, id: u64, why: seats::EndReason) {
-        let Some(s) = self.sess.get_mut(&id) else { return };
+    /// Ends a session that lost its seat, whatever its stage.
+    fn seat_lost(&mut self, id: u64, why: seats::EndReason) {
+        let Some(s) = self.sessions.get_mut(&id) else { return };
         let waiting = s.seat.take().is_some_and(|seat| seat.waiting);
         let (stage, out) = (s.stage, s.attempt.is_some());
         match stage {
-            Stage::Over | Stage::Ending => {}
-            Stage::Asked => {
+            Stage::Finished | Stage::TearingDown => {}
+            Stage::Pending => {
                 match (waiting, out) {
                     (true, _) => {}
-                    (false, true) => self.give_up(id, SetupOutcome::Withdrawn, true),
+                    (false, true) => self.abandon_setup(id, SetupOutcome::Withdrawn, true),
                     (false, false) => self.round.departures.push(SessId(id)),
                 }
                 let why = match why {
@@ -215,8 +228,8 @@
                     seats::EndReason::Moved => FailureReason::SeatMoved,
                     seats::EndReason::Lapsed => FailureReason::SeatLost,
                 };
-                self.answer(id, |key| ToPlayer::Failed { key, why });
-                self.over(id);
+                self.send_final(id, |key| ToPlayer::Failed { key, why });
+                self.finish(id);
             }
             Stage::Playing => self.end_playing(
                 id,
@@ -229,21 +242,23 @@
         }
     }
 
-    /// The session holds nothing any more: its seat goes back.
-    pub(super) fn give_back(&mut self, id: u64) {
-        let Some(seat) = self.sess.get_mut(&id).and_then(|s| s.seat.take()) else { return };
-        if self.seat_of.get(&seat.name) == Some(&id) {
-            self.seat_of.remove(&seat.name);
-            let back = self.holder.as_mut().map(|h| h.release(self.now, &seat.name.0, &seat.name.1));
-            self.seats_out(back.unwrap_or_default());
+    /// Releases the seat of a finished session.
+    pub(super) fn release_seat(&mut self, id: u64) {
+        let Some(seat) = self.sessions.get_mut(&id).and_then(|s| s.seat.take()) else { return };
+        if self.sess_by_seat.get(&seat.id) == Some(&id) {
+            self.sess_by_seat.remove(&seat.id);
+            let outputs = self.holder.as_mut().map(|h| h.release(self.now, &seat.id.0, &seat.id.1));
+            self.apply_holder_outputs(outputs.unwrap_or_default());
         }
     }
 }
 
-/// The director's side of the seats, if any group needs them.
-pub(super) fn holder(book: &kelpdoor_script::Deployment, nonce: impl FnOnce() -> u64) -> Option<Holder> {
-    let k = book.keeper.as_ref().filter(|_| book.groups.iter().any(|g| g.token))?;
+/// Creates the seat holder if the settings have a keeper and a group that needs tokens.
+pub(super) fn holder(
+    deployment: &kelpdoor_script::Deployment, nonce: impl FnOnce() -> u64,
+) -> Option<Holder> {
+    let k = deployment.keeper.as_ref().filter(|_| deployment.groups.iter().any(|g| g.token))?;
     let lease = seats::LeaseTerms { duration: k.lease, clock_error: k.clock_error };
-    let patience = seats::HolderTimeouts::new(k.wait, k.beat_every, k.ahead);
-    Some(Holder::new(seats::DirectorId(book.director.me), nonce(), lease, patience))
+    let timeouts = seats::HolderTimeouts::new(k.wait, k.beat_every, k.ahead);
+    Some(Holder::new(seats::DirectorId(deployment.director.me), nonce(), lease, timeouts))
 }
--- a/crates/kelpdoor-director/src/link.rs
+++ b/crates/kelpdoor-director/src/link.rs
@@ -1,73 +1,74 @@
-//! A director's one connection to a node.
+//! The connection of a director to a media node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What a request on the wire was for.
+/// The purpose of an outstanding request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum RequestPurpose {
     Options,
     Setup {
         sess: u64,
-        pipe: u64,
+        batch: u64,
     },
     Play {
         sess: u64,
-        pipe: u64,
+        batch: u64,
     },
-    /// `was`: what it plays at if the node refuses.
+    /// A change of rung. The session returns to rung `was` if the node refuses it.
     Rung {
         sess: u64,
         rung: u8,
         was: u8,
-        /// Of those that went out under a lease, what the outbox gives back.
-        name: u64,
+        /// The number that [`Input::Unsent`](crate::Input::Unsent) reports if the request is not sent.
+        batch: u64,
     },
     Teardown {
         sess: u64,
     },
-    /// `told`: the decisions asked for it.
+    /// `requested`: the placement logic ordered the probe and needs its result.
     Probe {
-        told: bool,
+        requested: bool,
     },
 }
 
-impl Asked {
-    /// The name of what may leave only under a lease, where rules are agreed.
-    pub fn under_lease(&self) -> Option<u64> {
+impl RequestPurpose {
+    /// The batch of a request that needs a valid lease if rules are agreed; `None` for other requests.
+    pub fn lease_batch(&self) -> Option<u64> {
         match self {
-            Asked::Setup { pipe: name, .. } | Asked::Play { pipe: name, .. } | Asked::Rung { name, .. } => {
-                Some(*name)
-            }
-            Asked::Options | Asked::Teardown { .. } | Asked::Probe { .. } => None,
+            RequestPurpose::Setup { batch, .. }
+            | RequestPurpose::Play { batch, .. }
+            | RequestPurpose::Rung { batch, .. } => Some(*batch),
+            RequestPurpose::Options | RequestPurpose::Teardown { .. } | RequestPurpose::Probe { .. } => None,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Line {
-    Down,
-    Dialling,
-    Up,
+pub enum ConnectionState {
+    Disconnected,
+    Connecting,
+    Connected,
 }
 
+/// A node's link. It outlives single connections. Times in seconds.
 #[derive(Clone, Debug)]
 pub struct Link {
     pub address: SocketAddr,
-    pub line: Line,
-    /// Numbers the connection at hand; words of earlier ones are passed over.
+    pub connection: ConnectionState,
+    /// Number of the current connection, 0 before the first. Events of earlier connections are ignored.
     pub number: u64,
     pub cseq: u32,
-    /// Requests out, by CSeq.
-    pub out: BTreeMap<u32, Asked>,
+    /// Outstanding requests by CSeq.
+    pub outstanding: BTreeMap<u32, RequestPurpose>,
     /// Sessions whose SETUP waits for the connection.
-    pub waiting: Vec<u64>,
+    pub waiting_setups: Vec<u64>,
     pub sessions: BTreeSet<u64>,
-    pub by_rtsp: BTreeMap<String, u64>,
-    /// When its last word came.
-    pub heard: f64,
-    pub asked_at: f64,
-    /// Failed connections in a row.
+    pub sess_by_rtsp_id: BTreeMap<String, u64>,
+    /// When the last event of the connection arrived.
+    pub last_received_at: f64,
+    pub last_probe_at: f64,
+    /// Number of failed connections in a row.
     pub failures: i32,
 }
 
@@ -75,15 +76,15 @@
     pub fn new(address: SocketAddr) -> Self {
         Link {
             address,
-            line: Line::Down,
+            connection: ConnectionState::Disconnected,
             number: 0,
             cseq: 0,
-            out: BTreeMap::new(),
-            waiting: Vec::new(),
+            outstanding: BTreeMap::new(),
+            waiting_setups: Vec::new(),
             sessions: BTreeSet::new(),
-            by_rtsp: BTreeMap::new(),
-            heard: 0.0,
-            asked_at: 0.0,
+            sess_by_rtsp_id: BTreeMap::new(),
+            last_received_at: 0.0,
+            last_probe_at: 0.0,
             failures: 0,
         }
     }
--- a/crates/kelpdoor-director/src/timers.rs
+++ b/crates/kelpdoor-director/src/timers.rs
@@ -1,36 +1,36 @@
-//! What a desk waits for.
+//! The timers of the core.
 
 pub type Timers = kelpdoor_parts::Timers<Timer>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The wait for a session's SETUP of that number is over.
-    SetupDue {
+    /// SETUP `number` of a session has been outstanding for too long.
+    SetupTimeout {
         sess: u64,
         number: u8,
     },
-    /// A session's answer is due.
-    AnswerDue {
+    /// A session's final answer is due.
+    AnswerDeadline {
         sess: u64,
     },
-    /// A session without a socket is over, if it lost the socket with that number of losses.
-    Resume {
+    /// A session has had no socket for too long. Ignored if `socket_changes` is no longer the session's count.
+    ResumeTimeout {
         sess: u64,
-        losses: u32,
+        socket_changes: u32,
     },
-    /// A session's token runs out soon, unless it was renewed since.
-    SeatEnds {
+    /// A session's token expires soon, unless it was renewed in the meantime.
+    TokenExpiring {
         sess: u64,
     },
-    /// No answer came to a TEARDOWN.
-    TornDown {
+    /// A TEARDOWN got no response in time.
+    TeardownTimeout {
         sess: u64,
     },
-    /// A finished session's answer is forgotten.
+    /// A finished session's answer is no longer remembered.
     Forget {
         sess: u64,
     },
-    ConnectDue {
+    ConnectTimeout {
         node: u32,
         link: u64,
     },
@@ -38,12 +38,12 @@
         node: u32,
         link: u64,
     },
-    Look {
+    CheckLiveness {
         node: u32,
         link: u64,
     },
-    /// Too much is out on a link: it is closed, with nothing else half done.
-    Choked {
+    /// A link has too many outstanding requests. A timer closes it, so that no other operation is interrupted halfway.
+    TooManyOutstanding {
         node: u32,
         link: u64,
     },
--- a/crates/kelpdoor-director/tests/story.rs
+++ b/crates/kelpdoor-director/tests/story.rs
@@ -275,7 +275,7 @@
     node.zone = "north".into();
     let bad = RosterMessage::Whole { version: 9, nodes: vec![node], titles: Vec::new() };
     let effects = bench.input(Input::Roster(bad));
-    expect![[r#"[Log { sess: None, text: "roster: node 3: zone \"north\" is not in the settings; the last good list stands" }]"#]].assert_eq(&format!("{effects:?}"));
+    expect![[r#"[Log { sess: None, text: "roster: node 3: zone \"north\" is not in the settings; keeping the last valid list" }]"#]].assert_eq(&format!("{effects:?}"));
     assert!(bench.start(1, "key-00001", "any", "t0").iter().any(|e| matches!(e, Effect::Node { .. })));
 }
 
