--- a/crates/kelpdoor-director/src/core.rs
+++ b/crates/kelpdoor-director/src/core.rs
@@ -54,8 +54,9 @@
     /// Known sessions, including finished ones whose answers are remembered.
     pub known: usize,
     pub timers: usize,
-    pub requests_out: usize,
-    pub links_up: usize,
+    /// Requests to nodes without a response.
+    pub outstanding_requests: usize,
+    pub connected_links: usize,
 }
 
 /// The state of the core except for the placement logic.
@@ -97,6 +98,7 @@
     done: bool,
 }
 
+/// A director without its I/O: sessions, links to media nodes, the node list and the placement logic.
 pub struct DirectorCore {
     director: Director,
     state: CoreState,
@@ -155,48 +157,51 @@
 
     /// Like [`handle_input`](Self::handle_input), for an input that arrived `delay` seconds ago: a player's setup
     /// timeout counts from its arrival.
-    pub fn handle_delayed_input(&mut self, now: f64, waited: f64, input: Input) {
-        let h = &mut self.state;
-        h.now = h.now.max(now);
+    pub fn handle_delayed_input(&mut self, now: f64, delay: f64, input: Input) {
+        let state = &mut self.state;
+        state.now = state.now.max(now);
         match input {
             Input::Player { sock, message } => {
-                h.handle_player(sock, message, waited.max(0.0), TokenCheck::Missing)
+                state.handle_player(sock, message, delay.max(0.0), TokenCheck::Missing)
             }
             Input::PlayerWithToken { sock, message, check } => {
-                h.player_with_token(sock, message, waited.max(0.0), check);
+                state.handle_player_with_token(sock, message, delay.max(0.0), check);
             }
-            Input::Keeper(word) => {
-                let out =
-                    h.holder.as_mut().map(|holder| holder.handle_response(h.now, &word)).unwrap_or_default();
-                h.apply_holder_outputs(out);
+            Input::Keeper(response) => {
+                let outputs = state
+                    .holder
+                    .as_mut()
+                    .map(|holder| holder.handle_response(state.now, &response))
+                    .unwrap_or_default();
+                state.apply_holder_outputs(outputs);
             }
-            Input::SocketLost { sock } => h.handle_socket_lost(sock),
-            Input::Node { node, link, event } => h.handle_node_event(node, link, event),
-            Input::Roster(message) => h.handle_roster(message),
-            Input::Cached(list) => h.handle_cached_roster(list),
+            Input::SocketLost { sock } => state.handle_socket_lost(sock),
+            Input::Node { node, link, event } => state.handle_node_event(node, link, event),
+            Input::Roster(message) => state.handle_roster(message),
+            Input::Cached(list) => state.handle_cached_roster(list),
             Input::Rules { deployment, label } => {
-                h.apply_rules(*deployment, label);
-                self.director.update_terms(&h.deployment.terms());
+                state.apply_rules(*deployment, label);
+                self.director.update_terms(&state.deployment.terms());
             }
-            Input::Lease { until } => h.lease_until = Some(until),
-            Input::Unsent { node, link, batch } => h.handle_unsent(node, link, batch),
-            Input::ShutDown => h.shutting_down = true,
+            Input::Lease { until } => state.lease_until = Some(until),
+            Input::Unsent { node, link, batch } => state.handle_unsent(node, link, batch),
+            Input::ShutDown => state.shutting_down = true,
         }
     }
 
     /// Handles timers that are due, runs the placement logic and passes the resulting effects to `out`.
     pub fn round(&mut self, now: f64, out: &mut impl FnMut(Effect)) {
-        let h = &mut self.state;
-        h.now = h.now.max(now);
-        let gap = h.now - self.last_round;
-        self.last_round = h.now;
+        let state = &mut self.state;
+        state.now = state.now.max(now);
+        let gap = state.now - self.last_round;
+        self.last_round = state.now;
         if gap > PAUSE_THRESHOLD {
             // This process was paused, so the silence of the links does not count.
-            h.links.values_mut().for_each(|l| l.last_received_at += gap);
+            state.links.values_mut().for_each(|link| link.last_received_at += gap);
         }
-        h.tick_holder();
-        while let Some(timer) = h.timers.pop(h.now) {
-            h.handle_timer(timer);
+        state.tick_holder();
+        while let Some(timer) = state.timers.pop(state.now) {
+            state.handle_timer(timer);
         }
         for _ in 0..MAX_PLACEMENT_ROUNDS {
             let round = std::mem::take(&mut self.state.round);
@@ -212,22 +217,27 @@
 
     /// When the next round is due without an input; infinity if never.
     pub fn next_timer_at(&self) -> f64 {
-        let h = &self.state;
-        let more = !h.round.ended.is_empty() || !h.round.departures.is_empty();
-        let seats = h.holder.as_ref().map(Holder::next_timer_at);
-        let due = [h.wake_at, h.timers.next_timer_at(), more.then_some(h.now), seats];
+        let state = &self.state;
+        let more = !state.round.ended.is_empty() || !state.round.departures.is_empty();
+        let seats = state.holder.as_ref().map(Holder::next_timer_at);
+        let due = [state.wake_at, state.timers.next_timer_at(), more.then_some(state.now), seats];
         due.into_iter().flatten().fold(f64::INFINITY, f64::min)
     }
 
+    /// Returns the current numbers of sessions, timers, requests and links.
     pub fn counts(&self) -> Counts {
-        let h = &self.state;
+        let state = &self.state;
         Counts {
-            pending: h.pending,
-            playing: h.active - h.pending,
-            known: h.sessions.len(),
-            timers: h.timers.len(),
-            requests_out: h.links.values().map(|l| l.outstanding.len()).sum(),
-            links_up: h.links.values().filter(|l| l.connection == ConnectionState::Connected).count(),
+            pending: state.pending,
+            playing: state.active - state.pending,
+            known: state.sessions.len(),
+            timers: state.timers.len(),
+            outstanding_requests: state.links.values().map(|l| l.outstanding.len()).sum(),
+            connected_links: state
+                .links
+                .values()
+                .filter(|l| l.connection == ConnectionState::Connected)
+                .count(),
         }
     }
 }
@@ -251,7 +261,7 @@
 
     // Players.
 
-    fn handle_player(&mut self, sock: u64, message: FromPlayer, waited: f64, shown: TokenCheck) {
+    fn handle_player(&mut self, sock: u64, message: FromPlayer, delay: f64, check: TokenCheck) {
         match message {
             FromPlayer::Ping { n } => self.send(Some(sock), ToPlayer::Pong { n }),
             FromPlayer::Stop { key } => match self.sess_by_key.get(&key).copied() {
@@ -259,97 +269,107 @@
                 None => self.send_error(sock, &key, ErrorCode::UnknownKey, "no session has this key"),
             },
             FromPlayer::Renew { key, .. } => {
-                self.send_error(sock, &key, ErrorCode::TokenMissing, "no token is asked for here");
+                self.send_error(sock, &key, ErrorCode::TokenMissing, "this director does not accept tokens");
             }
             FromPlayer::Start { key, group, title, best_rung, setup_timeout, token: _ } => {
-                let g = self.deployment.groups.iter().position(|g| g.name == group);
-                let Some(g) = g else {
+                let group_index = self.deployment.groups.iter().position(|g| g.name == group);
+                let Some(group_index) = group_index else {
                     return self.send_error(
                         sock,
                         &key,
                         ErrorCode::UnknownGroup,
-                        format!("no group {group:?}"),
+                        format!("unknown group {group:?}"),
                     );
                 };
                 if let Some(&id) = self.sess_by_key.get(&key) {
-                    return self.answer_retry(sock, id, g, &title);
+                    return self.answer_retry(sock, id, group_index, &title);
                 }
-                let e = match self.check_entitlement(g, shown) {
-                    Ok(e) => e,
-                    Err((code, what)) => return self.send_error(sock, &key, code, what),
+                let entitlement = match self.check_entitlement(group_index, check) {
+                    Ok(entitlement) => entitlement,
+                    Err((code, message)) => return self.send_error(sock, &key, code, message),
                 };
-                self.start_session(sock, key, g, title, best_rung, setup_timeout, waited, e);
+                self.start_session(
+                    sock,
+                    key,
+                    group_index,
+                    title,
+                    best_rung,
+                    setup_timeout,
+                    delay,
+                    entitlement,
+                );
             }
         }
     }
 
     /// Answers a request whose key is known: with the same answer again, or later with the one that is still pending.
     fn answer_retry(&mut self, sock: u64, id: u64, group: usize, title: &str) {
-        let s = &self.sessions[&id];
-        if usize::from(s.group) != group || s.title != title {
-            let key = s.key.clone();
+        let session = &self.sessions[&id];
+        if usize::from(session.group) != group || session.title != title {
+            let key = session.key.clone();
             return self.send_error(sock, &key, ErrorCode::KeyConflict, "the key stands for another request");
         }
-        let (answer, ended) = (s.final_answer.clone(), s.ended_message.clone());
+        let (answer, ended) = (session.final_answer.clone(), session.ended_message.clone());
         self.attach_socket(id, sock);
         for message in answer.into_iter().chain(ended) {
             self.send(Some(sock), message);
         }
     }
 
+    /// Makes `sock` the socket that receives the messages of the session.
     fn attach_socket(&mut self, id: u64, sock: u64) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        if let Some(of) = s.sock.replace(sock).and_then(|old| self.sess_by_sock.get_mut(&old)) {
-            of.remove(&id);
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        if let Some(ids) = session.sock.replace(sock).and_then(|old| self.sess_by_sock.get_mut(&old)) {
+            ids.remove(&id);
         }
-        s.socket_changes += 1;
-        if s.stage != Stage::Finished {
+        session.socket_changes += 1;
+        if session.stage != Stage::Finished {
             self.sess_by_sock.entry(sock).or_default().insert(id);
         }
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
     fn start_session(
-        &mut self, sock: u64, key: RequestKey, g: usize, title: String, best: u8, timeout: f64, waited: f64,
-        entitled: Option<Entitlement>,
+        &mut self, sock: u64, key: RequestKey, group_index: usize, title: String, best_rung: u8,
+        setup_timeout: f64, delay: f64, entitlement: Option<Entitlement>,
     ) {
         let Some(location) = self.title_location(&title) else {
-            return self.send_error(sock, &key, ErrorCode::UnknownTitle, format!("no title {title:?}"));
+            return self.send_error(sock, &key, ErrorCode::UnknownTitle, format!("unknown title {title:?}"));
         };
-        let group = &self.deployment.groups[g];
-        if best < group.floor {
-            let what = format!("the group plays at rung {} at least", group.floor);
-            return self.send_error(sock, &key, ErrorCode::RungTooLow, what);
+        let group = &self.deployment.groups[group_index];
+        if best_rung < group.floor {
+            let message = format!("the lowest rung of the group is {}", group.floor);
+            return self.send_error(sock, &key, ErrorCode::RungTooLow, message);
         }
         let come_back = self.deployment.director.come_back;
-        let left = timeout - self.deployment.players.answer_ahead.min(timeout / 2.0) - waited;
+        let time_left = setup_timeout - self.deployment.players.answer_ahead.min(setup_timeout / 2.0) - delay;
         // There is no room, or the request waited so long that its viewer has given up.
         let full = self.active >= self.deployment.players.sessions;
-        let refused = self.shutting_down || full || left < MIN_TIME_LEFT || !self.lease_valid();
+        let refused = self.shutting_down || full || time_left < MIN_TIME_LEFT || !self.lease_valid();
         let id = self.next_sess;
         self.next_sess += 1;
-        let names = &mut self.title_ids;
-        let title_id = *names.entry(title.clone()).or_insert_with(|| {
+        let title_ids = &mut self.title_ids;
+        let title_id = *title_ids.entry(title.clone()).or_insert_with(|| {
             self.next_title += 1;
             TitleId(self.next_title)
         });
         let request = NewSession {
             sess: SessId(id),
-            group: GroupId(g as u8),
+            group: GroupId(group_index as u8),
             title: title_id,
-            setup_timeout: left,
+            setup_timeout: time_left,
             first_cell: location.first_cell,
             cells: location.cells,
-            best_rung: best.min(self.deployment.ladder.rates.len() as u8 - 1),
+            best_rung: best_rung.min(self.deployment.ladder.rates.len() as u8 - 1),
         };
         let session = Session {
             key: key.clone(),
             sock: None,
             socket_changes: 0,
-            group: g as u8,
+            group: group_index as u8,
             title,
-            answer_due_at: self.now + left,
-            player_deadline: self.now - waited + timeout,
+            answer_due_at: self.now + time_left,
+            player_deadline: self.now - delay + setup_timeout,
             stage: Stage::Pending,
             rung: group.floor,
             seat: None,
@@ -369,18 +389,21 @@
             self.send_final(id, |key| ToPlayer::Busy { key, come_back });
             return self.finish(id);
         }
-        self.timers.set(self.now + left, Timer::AnswerDeadline { sess: id });
-        match entitled {
+        self.timers.set(self.now + time_left, Timer::AnswerDeadline { sess: id });
+        match entitlement {
             None => self.admit(id),
-            Some(e) => self.request_seat(id, left, e),
+            Some(entitlement) => self.request_seat(id, time_left, entitlement),
         }
     }
 
     /// Passes a request to the placement logic with the rest of its time.
     fn admit(&mut self, id: u64) {
-        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.stage == Stage::Pending) else { return };
-        let Some(mut request) = s.request.take() else { return };
-        request.setup_timeout = s.answer_due_at - self.now;
+        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.stage == Stage::Pending)
+        else {
+            return;
+        };
+        let Some(mut request) = session.request.take() else { return };
+        request.setup_timeout = session.answer_due_at - self.now;
         if request.setup_timeout < MIN_TIME_LEFT {
             // The seat was granted too late, for example after a pause of this process. No SETUP was sent.
             let come_back = self.deployment.director.come_back;
@@ -409,10 +432,10 @@
     /// that its node knows.
     fn handle_unsent(&mut self, node: u32, number: u64, unsent: u64) {
         let Some(link) = self.links.get_mut(&node).filter(|l| l.number == number) else { return };
-        let (mut id, mut kept) = (None, None);
-        link.outstanding.retain(|_, asked| match asked {
+        let (mut id, mut unsent_rung) = (None, None);
+        link.outstanding.retain(|_, purpose| match purpose {
             RequestPurpose::Rung { sess, rung, was, batch } if *batch == unsent => {
-                kept = Some((*sess, *rung, *was));
+                unsent_rung = Some((*sess, *rung, *was));
                 false
             }
             RequestPurpose::Setup { batch, sess } | RequestPurpose::Play { batch, sess }
@@ -423,25 +446,25 @@
             }
             _ => true,
         });
-        if let Some((sess, rung, was)) = kept {
+        if let Some((sess, rung, was)) = unsent_rung {
             return self.revert_rung(node, sess, rung, was);
         }
         let Some(id) = id.filter(|id| self.session_with_setup(*id, unsent).is_some()) else { return };
-        if let Some(a) = self.sessions.get_mut(&id).and_then(|s| s.attempt.as_mut()) {
-            a.sent = false;
+        if let Some(attempt) = self.sessions.get_mut(&id).and_then(|session| session.attempt.as_mut()) {
+            attempt.sent = false;
         }
         self.reject_without_lease(id);
     }
 
     /// Ends a session because its viewer stopped it or did not reconnect.
     fn stop_session(&mut self, id: u64) {
-        let Some(s) = self.sessions.get(&id) else { return };
-        match s.stage {
+        let Some(session) = self.sessions.get(&id) else { return };
+        match session.stage {
             Stage::Finished | Stage::TearingDown => {}
             Stage::Pending => {
-                if s.attempt.is_some() {
+                if session.attempt.is_some() {
                     self.abandon_setup(id, SetupOutcome::Withdrawn, true);
-                } else if s.request.is_none() {
+                } else if session.request.is_none() {
                     self.round.departures.push(SessId(id));
                 }
                 self.send_final(id, |key| ToPlayer::Failed { key, why: FailureReason::Stopped });
@@ -455,52 +478,58 @@
     fn end_playing(&mut self, id: u64, why: EndReason) {
         self.send_teardown(id);
         self.send_ended(id, why);
-        if let Some(s) = self.sessions.get_mut(&id) {
-            s.stage = Stage::TearingDown;
+        if let Some(session) = self.sessions.get_mut(&id) {
+            session.stage = Stage::TearingDown;
         }
         self.timers.set(self.now + TEARDOWN_TIMEOUT, Timer::TeardownTimeout { sess: id });
     }
 
     fn handle_socket_lost(&mut self, sock: u64) {
         for id in self.sess_by_sock.remove(&sock).unwrap_or_default() {
-            let Some(s) = self.sessions.get_mut(&id).filter(|s| s.sock == Some(sock)) else { continue };
-            s.sock = None;
-            s.socket_changes += 1;
-            let timer = Timer::ResumeTimeout { sess: id, socket_changes: s.socket_changes };
+            let Some(session) = self.sessions.get_mut(&id).filter(|session| session.sock == Some(sock))
+            else {
+                continue;
+            };
+            session.sock = None;
+            session.socket_changes += 1;
+            let timer = Timer::ResumeTimeout { sess: id, socket_changes: session.socket_changes };
             self.timers.set(self.now + self.deployment.players.resume_for, timer);
         }
     }
 
     /// Sends and stores the final answer, unless the session already has one.
-    fn send_final(&mut self, id: u64, of: impl FnOnce(RequestKey) -> ToPlayer) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        if s.final_answer.is_some() {
+    fn send_final(&mut self, id: u64, message_for: impl FnOnce(RequestKey) -> ToPlayer) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        if session.final_answer.is_some() {
             return;
         }
-        let (message, sock) = (of(s.key.clone()), s.sock);
-        s.final_answer = Some(message.clone());
+        let (message, sock) = (message_for(session.key.clone()), session.sock);
+        session.final_answer = Some(message.clone());
         self.send(sock, message);
     }
 
     fn send_ended(&mut self, id: u64, why: EndReason) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        if s.ended_message.is_some() {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        if session.ended_message.is_some() {
             return;
         }
-        let (message, sock) = (ToPlayer::Ended { key: s.key.clone(), why }, s.sock);
-        s.ended_message = Some(message.clone());
+        let (message, sock) = (ToPlayer::Ended { key: session.key.clone(), why }, session.sock);
+        session.ended_message = Some(message.clone());
         self.send(sock, message);
     }
 
     /// Releases everything that the session holds except its answer, which is kept for retries.
     fn finish(&mut self, id: u64) {
-        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.stage != Stage::Finished) else { return };
-        self.pending -= usize::from(s.stage == Stage::Pending);
-        s.stage = Stage::Finished;
-        s.attempt = None;
-        s.request = None;
-        if let Some(of) = s.sock.take().and_then(|sock| self.sess_by_sock.get_mut(&sock)) {
-            of.remove(&id);
+        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.stage != Stage::Finished)
+        else {
+            return;
+        };
+        self.pending -= usize::from(session.stage == Stage::Pending);
+        session.stage = Stage::Finished;
+        session.attempt = None;
+        session.request = None;
+        if let Some(ids) = session.sock.take().and_then(|sock| self.sess_by_sock.get_mut(&sock)) {
+            ids.remove(&id);
         }
         self.active -= 1;
         self.finished.push_back(id);
@@ -514,15 +543,15 @@
     }
 
     fn forget(&mut self, id: u64) {
-        if let Some(s) = self.sessions.remove(&id) {
-            self.sess_by_key.remove(&s.key);
+        if let Some(session) = self.sessions.remove(&id) {
+            self.sess_by_key.remove(&session.key);
         }
     }
 
     // Nodes.
 
     fn send_request(
-        &mut self, node: u32, asked: RequestPurpose, method: Method, uri: &str, with: &[(&str, String)],
+        &mut self, node: u32, purpose: RequestPurpose, method: Method, uri: &str, headers: &[(&str, String)],
     ) {
         let Some(link) = self.links.get_mut(&node).filter(|l| l.connection == ConnectionState::Connected)
         else {
@@ -534,9 +563,9 @@
             return;
         }
         link.cseq = link.cseq.wrapping_add(1);
-        link.outstanding.insert(link.cseq, asked);
+        link.outstanding.insert(link.cseq, purpose);
         let mut request = Request::new(method, uri, link.cseq);
-        for (name, value) in with {
+        for (name, value) in headers {
             request.headers.append(name, value);
         }
         let mut bytes = Vec::with_capacity(192);
@@ -544,15 +573,15 @@
         let link = link.number;
         // Consecutive requests to a node share one write. Requests under a lease (a SETUP with its PLAY, a change of
         // rung) stay separate, so that the shell can drop them alone.
-        let leased = asked.lease_batch().filter(|_| self.lease_until.is_some());
-        match (self.effects.last_mut(), leased) {
-            (Some(Effect::Node { node: n, link: l, bytes: before }), None) if (*n, *l) == (node, link) => {
-                before.append(&mut bytes);
+        let lease_batch = purpose.lease_batch().filter(|_| self.lease_until.is_some());
+        match (self.effects.last_mut(), lease_batch) {
+            (Some(Effect::Node { node: n, link: l, bytes: pending }), None) if (*n, *l) == (node, link) => {
+                pending.append(&mut bytes);
             }
-            (Some(Effect::Leased { node: n, link: l, batch: b, bytes: before }), Some(batch))
+            (Some(Effect::Leased { node: n, link: l, batch: b, bytes: pending }), Some(batch))
                 if (*n, *l, *b) == (node, link, batch) =>
             {
-                before.append(&mut bytes);
+                pending.append(&mut bytes);
             }
             (_, None) => self.effects.push(Effect::Node { node, link, bytes }),
             (_, Some(batch)) => self.effects.push(Effect::Leased { node, link, batch, bytes }),
@@ -589,7 +618,7 @@
                 }
                 link.connection = ConnectionState::Connected;
                 link.failures = 0;
-                let waiting = std::mem::take(&mut link.waiting_setups);
+                let setups = std::mem::take(&mut link.waiting_setups);
                 let uri = format!("rtsp://{}/", link.address);
                 let me = self.deployment.director.me;
                 let agent = format!("kelpdoor/{} (director {me})", env!("CARGO_PKG_VERSION"));
@@ -600,41 +629,41 @@
                     &uri,
                     &[(header_names::USER_AGENT, agent)],
                 );
-                waiting.into_iter().for_each(|id| self.write_setup(id));
-                let look = self.now + self.deployment.node_links.quiet / 2.0;
-                self.timers.set(look, Timer::CheckLiveness { node, link: number });
+                setups.into_iter().for_each(|id| self.write_setup(id));
+                let check_at = self.now + self.deployment.node_links.quiet / 2.0;
+                self.timers.set(check_at, Timer::CheckLiveness { node, link: number });
             }
             NodeEvent::ConnectFailed => self.handle_connect_failure(node),
             NodeEvent::ConnectionLost => self.close_link(node, number, false),
-            NodeEvent::Received(Message::Response(r)) => self.handle_response(node, r),
-            NodeEvent::Received(Message::Request(r)) => self.handle_node_request(node, r),
+            NodeEvent::Received(Message::Response(response)) => self.handle_response(node, response),
+            NodeEvent::Received(Message::Request(request)) => self.handle_node_request(node, request),
         }
     }
 
     /// A connection attempt failed: no SETUP that waited for it was sent.
     fn handle_connect_failure(&mut self, node: u32) {
         let Some(link) = self.links.get_mut(&node) else { return };
-        let waiting = std::mem::take(&mut link.waiting_setups);
+        let setups = std::mem::take(&mut link.waiting_setups);
         self.schedule_redial(node);
-        waiting.into_iter().for_each(|id| self.abandon_setup(id, SetupOutcome::Unreachable, false));
+        setups.into_iter().for_each(|id| self.abandon_setup(id, SetupOutcome::Unreachable, false));
     }
 
     /// Marks the link as disconnected and schedules a reconnection with exponential backoff and jitter.
     fn schedule_redial(&mut self, node: u32) {
-        let (first, most) = self.deployment.node_links.back_off;
-        let spread = 0.5 + self.rng.f64();
+        let (first, max) = self.deployment.node_links.back_off;
+        let jitter = 0.5 + self.rng.f64();
         let Some(link) = self.links.get_mut(&node) else { return };
         link.connection = ConnectionState::Disconnected;
         link.outstanding.clear();
         link.sess_by_rtsp_id.clear();
-        let wait = (first * f64::from(1 << link.failures.min(16))).min(most) * spread;
+        let delay = (first * f64::from(1 << link.failures.min(16))).min(max) * jitter;
         link.failures += 1;
         let number = link.number;
-        self.timers.set(self.now + wait, Timer::Redial { node, link: number });
+        self.timers.set(self.now + delay, Timer::Redial { node, link: number });
     }
 
     /// Handles the end of a connection and of all sessions on it.
-    fn close_link(&mut self, node: u32, number: u64, hang_up: bool) {
+    fn close_link(&mut self, node: u32, number: u64, disconnect: bool) {
         let Some(link) = self
             .links
             .get_mut(&node)
@@ -642,16 +671,16 @@
         else {
             return;
         };
-        let held = std::mem::take(&mut link.sessions);
+        let sessions = std::mem::take(&mut link.sessions);
         link.waiting_setups.clear();
-        if hang_up {
+        if disconnect {
             self.effects.push(Effect::Disconnect { node, link: number });
         }
         self.schedule_redial(node);
-        for id in held {
-            let Some(s) = self.sessions.get_mut(&id) else { continue };
-            let (stage, sent) = (s.stage, s.attempt.as_ref().is_some_and(|a| a.sent));
-            s.attempt = None;
+        for id in sessions {
+            let Some(session) = self.sessions.get_mut(&id) else { continue };
+            let (stage, sent) = (session.stage, session.attempt.as_ref().is_some_and(|attempt| attempt.sent));
+            session.attempt = None;
             let outcome = if sent { SetupOutcome::ConnectionLost } else { SetupOutcome::Unreachable };
             self.report_ended(id, node, outcome, stage != Stage::Pending, LoadReport::default());
             if stage != Stage::Pending {
@@ -672,29 +701,30 @@
 
     /// Sends a session's SETUP with its PLAY pipelined behind it.
     fn write_setup(&mut self, id: u64) {
-        let (may, label, rules) = (self.lease_valid(), self.rules_label.clone(), self.rule_changes);
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        let Some(a) = s.attempt.as_mut().filter(|a| !a.sent) else { return };
-        let (node, batch) = (a.node, a.batch);
+        let (lease_valid, label, rule_changes) =
+            (self.lease_valid(), self.rules_label.clone(), self.rule_changes);
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(attempt) = session.attempt.as_mut().filter(|attempt| !attempt.sent) else { return };
+        let (node, batch) = (attempt.node, attempt.batch);
         let Some(link) = self.links.get(&node).filter(|l| l.connection == ConnectionState::Connected) else {
             return;
         };
-        if !may {
+        if !lease_valid {
             return self.reject_without_lease(id);
         }
-        if a.rule_changes != rules {
+        if attempt.rule_changes != rule_changes {
             // The rules changed while the SETUP waited for its connection: the placement logic decides again.
             return self.abandon_setup(id, SetupOutcome::NeverSent, false);
         }
-        (a.sent, a.link) = (true, link.number);
+        (attempt.sent, attempt.link) = (true, link.number);
         let mut setup = vec![
             (header_names::PIPELINED, batch.to_string()),
             (header_names::TRANSPORT, "RTP/AVP/TCP;unicast".to_owned()),
-            (header_names::RUNG, s.rung.to_string()),
-            (header_names::SERVICE_GROUP, self.deployment.groups[usize::from(s.group)].name.clone()),
-            (header_names::REQUEST_KEY, s.key.0.clone()),
+            (header_names::RUNG, session.rung.to_string()),
+            (header_names::SERVICE_GROUP, self.deployment.groups[usize::from(session.group)].name.clone()),
+            (header_names::REQUEST_KEY, session.key.0.clone()),
         ];
-        let uri = format!("rtsp://{}/{}", link.address, s.title);
+        let uri = format!("rtsp://{}/{}", link.address, session.title);
         if self.lease_until.is_some() {
             setup.push((header_names::RULES_VERSION, label));
         }
@@ -705,13 +735,13 @@
     /// Sends a TEARDOWN for whatever the node has of the session. It names the node's session id or, before that is
     /// known, the pipeline id of the SETUP.
     fn send_teardown(&mut self, id: u64) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        let Some(a) = &s.attempt else { return };
-        let name = match &a.rtsp_id {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(attempt) = &session.attempt else { return };
+        let name = match &attempt.rtsp_id {
             Some(rtsp_id) => (header_names::SESSION, rtsp_id.clone()),
-            None => (header_names::PIPELINED, a.batch.to_string()),
+            None => (header_names::PIPELINED, attempt.batch.to_string()),
         };
-        let (node, sent, title) = (a.node, a.sent, s.title.clone());
+        let (node, sent, title) = (attempt.node, attempt.sent, session.title.clone());
         if sent {
             let uri = self.node_uri(node, &title);
             self.send_request(node, RequestPurpose::Teardown { sess: id }, Method::Teardown, &uri, &[name]);
@@ -721,56 +751,65 @@
     /// Gives up an outstanding SETUP. The TEARDOWN is sent at once, so that a late success does not leave a stream
     /// playing.
     fn abandon_setup(&mut self, id: u64, outcome: SetupOutcome, closed: bool) {
-        let Some(a) = self.sessions.get(&id).and_then(|s| s.attempt.clone()) else { return };
+        let Some(attempt) = self.sessions.get(&id).and_then(|session| session.attempt.clone()) else {
+            return;
+        };
         self.send_teardown(id);
-        self.detach_from_link(id, &a);
+        self.detach_from_link(id, &attempt);
         let outcome = match outcome {
             // A SETUP that was never sent cannot have run.
-            SetupOutcome::TimedOut if !a.sent => SetupOutcome::Unreachable,
-            SetupOutcome::Withdrawn if !a.sent => SetupOutcome::NeverSent,
+            SetupOutcome::TimedOut if !attempt.sent => SetupOutcome::Unreachable,
+            SetupOutcome::Withdrawn if !attempt.sent => SetupOutcome::NeverSent,
             outcome => outcome,
         };
-        self.report_ended(id, a.node, outcome, closed, LoadReport::default());
+        self.report_ended(id, attempt.node, outcome, closed, LoadReport::default());
     }
 
     /// Removes the session from its link.
-    fn detach_from_link(&mut self, id: u64, a: &Attempt) {
-        if let Some(s) = self.sessions.get_mut(&id) {
-            s.attempt = None;
+    fn detach_from_link(&mut self, id: u64, attempt: &Attempt) {
+        if let Some(session) = self.sessions.get_mut(&id) {
+            session.attempt = None;
         }
-        if let Some(link) = self.links.get_mut(&a.node) {
+        if let Some(link) = self.links.get_mut(&attempt.node) {
             link.sessions.remove(&id);
             link.waiting_setups.retain(|w| *w != id);
-            if let Some(rtsp_id) = &a.rtsp_id {
+            if let Some(rtsp_id) = &attempt.rtsp_id {
                 link.sess_by_rtsp_id.remove(rtsp_id);
             }
         }
     }
 
+    /// Returns the session if its current SETUP is `batch` and was sent.
     fn session_with_setup(&self, id: u64, batch: u64) -> Option<&Session> {
-        self.sessions.get(&id).filter(|s| s.attempt.as_ref().is_some_and(|a| a.batch == batch && a.sent))
+        self.sessions.get(&id).filter(|session| {
+            session.attempt.as_ref().is_some_and(|attempt| attempt.batch == batch && attempt.sent)
+        })
     }
 
-    fn handle_response(&mut self, node: u32, r: Response) {
-        let Some(asked) = self.links.get_mut(&node).and_then(|l| l.outstanding.remove(&r.cseq)) else {
-            return self.log_line(None, format!("node {node}: response to unknown request, CSeq {}", r.cseq));
+    fn handle_response(&mut self, node: u32, response: Response) {
+        let Some(purpose) = self.links.get_mut(&node).and_then(|l| l.outstanding.remove(&response.cseq))
+        else {
+            return self
+                .log_line(None, format!("node {node}: response to unknown request, CSeq {}", response.cseq));
         };
-        let load = load_report(&r.headers);
-        match asked {
+        let load = load_report(&response.headers);
+        match purpose {
             RequestPurpose::Options => {}
             RequestPurpose::Probe { requested } => {
-                let outcome = if r.ok() { SetupOutcome::Served } else { SetupOutcome::Failed };
+                let outcome = if response.ok() { SetupOutcome::Served } else { SetupOutcome::Failed };
                 if requested {
                     self.round.probed.push((NodeId(node), outcome, load));
                 }
             }
             RequestPurpose::Setup { sess, batch } => {
-                let rtsp_id =
-                    r.headers.get(header_names::SESSION).map(|s| s.split(';').next().unwrap_or(s).trim());
-                let rtsp_id = rtsp_id.filter(|s| !s.is_empty() && s.len() <= 128).map(str::to_owned);
+                let rtsp_id = response
+                    .headers
+                    .get(header_names::SESSION)
+                    .map(|header| header.split(';').next().unwrap_or(header).trim());
+                let rtsp_id = rtsp_id.filter(|id| !id.is_empty() && id.len() <= 128).map(str::to_owned);
                 if self.session_with_setup(sess, batch).is_none() {
                     // A late success is torn down by the session id in the response.
-                    if let Some(rtsp_id) = rtsp_id.filter(|_| r.ok()) {
+                    if let Some(rtsp_id) = rtsp_id.filter(|_| response.ok()) {
                         let uri = self.node_uri(node, "");
                         let name = [(header_names::SESSION, rtsp_id)];
                         self.send_request(
@@ -783,25 +822,27 @@
                     }
                     return;
                 }
-                match rtsp_id.filter(|_| r.ok()) {
+                match rtsp_id.filter(|_| response.ok()) {
                     Some(rtsp_id) => {
                         if let Some(link) = self.links.get_mut(&node) {
                             link.sess_by_rtsp_id.insert(rtsp_id.clone(), sess);
                         }
-                        if let Some(a) = self.sessions.get_mut(&sess).and_then(|s| s.attempt.as_mut()) {
-                            a.rtsp_id = Some(rtsp_id);
+                        if let Some(attempt) =
+                            self.sessions.get_mut(&sess).and_then(|session| session.attempt.as_mut())
+                        {
+                            attempt.rtsp_id = Some(rtsp_id);
                         }
                         self.start_playing(sess, None);
                     }
                     // A refusal, or a 200 without a session id.
-                    None => self.handle_refusal(sess, r.is_refusal(), load),
+                    None => self.handle_refusal(sess, response.is_refusal(), load),
                 }
             }
             RequestPurpose::Play { sess, batch } => {
                 if self.session_with_setup(sess, batch).is_none() {
                     return;
                 }
-                if !r.ok() {
+                if !response.ok() {
                     // Whatever the status, this does not prove that the SETUP failed: the SETUP may have succeeded,
                     // or its response may still be outstanding.
                     if self.sessions[&sess].stage == Stage::Pending {
@@ -809,13 +850,18 @@
                     }
                     return;
                 }
-                if let Some(a) = self.sessions.get_mut(&sess).and_then(|s| s.attempt.as_mut()) {
-                    a.play_ok = true;
+                if let Some(attempt) =
+                    self.sessions.get_mut(&sess).and_then(|session| session.attempt.as_mut())
+                {
+                    attempt.play_ok = true;
                 }
-                self.start_playing(sess, r.headers.get(header_names::ASKED).map(LinkDemandHeader::parse));
+                self.start_playing(
+                    sess,
+                    response.headers.get(header_names::ASKED).map(LinkDemandHeader::parse),
+                );
             }
             RequestPurpose::Rung { sess, rung, was, .. } => {
-                if !r.ok() {
+                if !response.ok() {
                     self.revert_rung(node, sess, rung, was);
                 }
             }
@@ -826,23 +872,26 @@
     /// Reverts a refused change of rung. Only the latest change sets the rung in force; an outstanding later change falls
     /// back to `was` instead of to the refused rung.
     fn revert_rung(&mut self, node: u32, id: u64, rung: u8, was: u8) {
-        for asked in self.links.get_mut(&node).into_iter().flat_map(|l| l.outstanding.values_mut()) {
-            if let RequestPurpose::Rung { sess, was: previous, .. } = asked
+        for purpose in self.links.get_mut(&node).into_iter().flat_map(|l| l.outstanding.values_mut()) {
+            if let RequestPurpose::Rung { sess, was: previous, .. } = purpose
                 && *sess == id
                 && *previous == rung
             {
                 *previous = was;
             }
         }
-        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.stage == Stage::Playing && s.rung == rung)
+        let Some(session) = self
+            .sessions
+            .get_mut(&id)
+            .filter(|session| session.stage == Stage::Playing && session.rung == rung)
         else {
             return;
         };
-        s.rung = was;
-        if let Some(ToPlayer::Playing { rung: answered, .. }) = &mut s.final_answer {
-            *answered = was;
+        session.rung = was;
+        if let Some(ToPlayer::Playing { rung: answered_rung, .. }) = &mut session.final_answer {
+            *answered_rung = was;
         }
-        let (key, sock) = (s.key.clone(), s.sock);
+        let (key, sock) = (session.key.clone(), session.sock);
         self.round.measurements.push(Measurement::Rung { sess: SessId(id), rung: was });
         self.send(sock, ToPlayer::Rung { key, rung: was });
     }
@@ -850,94 +899,106 @@
     /// Handles a refused SETUP or PLAY. If the node refused the SETUP without starting it, a TEARDOWN is not needed.
     /// Otherwise it may have run and is torn down before another SETUP is sent.
     fn handle_refusal(&mut self, id: u64, not_started: bool, load: LoadReport) {
-        let Some(a) = self.sessions.get(&id).and_then(|s| s.attempt.clone()) else { return };
+        let Some(attempt) = self.sessions.get(&id).and_then(|session| session.attempt.clone()) else {
+            return;
+        };
         let outcome = if not_started { SetupOutcome::BusyReplied } else { SetupOutcome::Failed };
         if !not_started {
             self.send_teardown(id);
         }
-        self.detach_from_link(id, &a);
-        self.report_ended(id, a.node, outcome, false, load);
+        self.detach_from_link(id, &attempt);
+        self.report_ended(id, attempt.node, outcome, false, load);
     }
 
     /// Marks the session as playing once both SETUP and PLAY have succeeded.
-    fn start_playing(&mut self, id: u64, asked: Option<LinkDemandHeader>) {
-        let Some(s) = self.sessions.get(&id) else { return };
-        let Some(a) = s.attempt.as_ref().filter(|a| a.play_ok && a.rtsp_id.is_some()) else { return };
-        if s.stage != Stage::Pending {
+    fn start_playing(&mut self, id: u64, demand: Option<LinkDemandHeader>) {
+        let Some(session) = self.sessions.get(&id) else { return };
+        let Some(attempt) =
+            session.attempt.as_ref().filter(|attempt| attempt.play_ok && attempt.rtsp_id.is_some())
+        else {
+            return;
+        };
+        if session.stage != Stage::Pending {
             return;
         }
-        if self.now > s.player_deadline {
+        if self.now > session.player_deadline {
             // This process was paused while the response waited; the viewer has given up.
             return self.abandon_setup(id, SetupOutcome::TimedOut, false);
         }
-        let (node, took, rung, title) = (a.node, self.now - a.sent_at, s.rung, s.title.clone());
+        let (node, took, rung, title) =
+            (attempt.node, self.now - attempt.sent_at, session.rung, session.title.clone());
         let (uri, resume_for) = (self.node_uri(node, &title), self.deployment.players.resume_for);
-        if let Some(s) = self.sessions.get_mut(&id) {
-            s.stage = Stage::Playing;
+        if let Some(session) = self.sessions.get_mut(&id) {
+            session.stage = Stage::Playing;
             self.pending -= 1;
         }
         self.round.playing.push(Playing { sess: SessId(id), node: NodeId(node), took });
-        if let Some(asked) = asked {
-            self.record_link_demand(id, node, asked);
+        if let Some(demand) = demand {
+            self.record_link_demand(id, node, demand);
         }
         self.send_final(id, |key| ToPlayer::Playing { key, uri, rung, resume_for });
         self.set_expiry_timer(id);
     }
 
-    fn record_link_demand(&mut self, id: u64, node: u32, asked: LinkDemandHeader) {
+    fn record_link_demand(&mut self, id: u64, node: u32, demand: LinkDemandHeader) {
         let (sess, node) = (SessId(id), NodeId(node));
-        if let Some(asked) = asked.link {
+        if let Some(asked) = demand.link {
             self.round.measurements.push(Measurement::Link { sess, node, asked });
         }
-        if let Some(asked) = asked.uplink {
+        if let Some(asked) = demand.uplink {
             self.round.measurements.push(Measurement::Uplink { sess, node, asked });
         }
     }
 
     fn complete_teardown(&mut self, id: u64, node: u32, load: LoadReport) {
-        let Some(s) = self.sessions.get(&id).filter(|s| s.stage == Stage::TearingDown) else { return };
-        let Some(a) = s.attempt.clone() else { return };
-        self.detach_from_link(id, &a);
+        let Some(session) = self.sessions.get(&id).filter(|session| session.stage == Stage::TearingDown)
+        else {
+            return;
+        };
+        let Some(attempt) = session.attempt.clone() else { return };
+        self.detach_from_link(id, &attempt);
         self.report_ended(id, node, SetupOutcome::Served, true, load);
         self.finish(id);
     }
 
     /// Handles a request that the node sent.
-    fn handle_node_request(&mut self, node: u32, r: Request) {
-        let reply = |status| Message::Response(Response::new(status, r.cseq)).to_bytes();
+    fn handle_node_request(&mut self, node: u32, request: Request) {
+        let reply = |status| Message::Response(Response::new(status, request.cseq)).to_bytes();
         let Some(link) = self.links.get(&node) else { return };
         let number = link.number;
-        let sess =
-            r.headers.get(header_names::SESSION).and_then(|s| link.sess_by_rtsp_id.get(s.trim()).copied());
-        let status = match (r.method, sess) {
+        let sess = request
+            .headers
+            .get(header_names::SESSION)
+            .and_then(|id| link.sess_by_rtsp_id.get(id.trim()).copied());
+        let status = match (request.method, sess) {
             (Method::Options, _) => 200,
             (Method::PlayNotify, Some(_)) => 200,
             (Method::PlayNotify, None) => 454,
             _ => 501,
         };
         self.effects.push(Effect::Node { node, link: number, bytes: reply(status) });
-        let (Method::PlayNotify, Some(id)) = (r.method, sess) else { return };
-        if !self.sessions.get(&id).is_some_and(|s| s.stage == Stage::Playing) {
+        let (Method::PlayNotify, Some(id)) = (request.method, sess) else { return };
+        if !self.sessions.get(&id).is_some_and(|session| session.stage == Stage::Playing) {
             return;
         }
-        match r.headers.get(header_names::NOTIFY_REASON).unwrap_or("") {
+        match request.headers.get(header_names::NOTIFY_REASON).unwrap_or("") {
             notify_reasons::DELIVERY_SHARE => {
-                let share = r.headers.parse_value::<f64>(header_names::DELIVERED);
-                if let Some(share) = share.filter(|s| s.is_finite() && (0.0..=1.0).contains(s)) {
+                let share = request.headers.parse_value::<f64>(header_names::DELIVERED);
+                if let Some(share) = share.filter(|share| share.is_finite() && (0.0..=1.0).contains(share)) {
                     self.round.measurements.push(Measurement::Delivered { node: NodeId(node), share });
                 }
             }
             notify_reasons::LINK_LOAD => {
-                let asked =
-                    r.headers.get(header_names::ASKED).map(LinkDemandHeader::parse).unwrap_or_default();
-                self.record_link_demand(id, node, asked);
+                let demand =
+                    request.headers.get(header_names::ASKED).map(LinkDemandHeader::parse).unwrap_or_default();
+                self.record_link_demand(id, node, demand);
             }
             notify_reasons::END_OF_STREAM => {
                 self.send_teardown(id);
-                if let Some(a) = self.sessions.get(&id).and_then(|s| s.attempt.clone()) {
-                    self.detach_from_link(id, &a);
+                if let Some(attempt) = self.sessions.get(&id).and_then(|session| session.attempt.clone()) {
+                    self.detach_from_link(id, &attempt);
                 }
-                self.report_ended(id, node, SetupOutcome::Served, true, load_report(&r.headers));
+                self.report_ended(id, node, SetupOutcome::Served, true, load_report(&request.headers));
                 self.send_ended(id, EndReason::Finished);
                 self.finish(id);
             }
@@ -952,56 +1013,57 @@
 
     /// The phase of a node, limited by the agreed list: a ready node counts as draining if the list lacks it, drains it
     /// or differs from the roster in its zone, kind or cell.
-    fn effective_phase(&self, n: &RosterNode) -> Phase {
-        let Some(list) = &self.deployment.lists.nodes else { return n.phase };
-        let as_agreed = list
-            .get(&n.id)
-            .is_some_and(|a| !a.drain && (&a.zone, &a.kind, a.cell) == (&n.zone, &n.kind, n.cell));
-        if n.phase == Phase::Ready && !as_agreed { Phase::Draining } else { n.phase }
+    fn effective_phase(&self, node: &RosterNode) -> Phase {
+        let Some(list) = &self.deployment.lists.nodes else { return node.phase };
+        let matches_list = list.get(&node.id).is_some_and(|agreed| {
+            !agreed.drain && (&agreed.zone, &agreed.kind, agreed.cell) == (&node.zone, &node.kind, node.cell)
+        });
+        if node.phase == Phase::Ready && !matches_list { Phase::Draining } else { node.phase }
     }
 
     /// Returns the cells of a title, from the agreed titles if there are any, otherwise from the roster.
     fn title_location(&self, title: &str) -> Option<RosterTitle> {
         match &self.deployment.lists.titles {
             None => self.roster.titles.get(title).cloned(),
-            Some(all) => all.get(title).map(|t| RosterTitle {
-                name: t.name.clone(),
-                first_cell: t.first_cell,
-                cells: t.cells,
+            Some(titles) => titles.get(title).map(|title| RosterTitle {
+                name: title.name.clone(),
+                first_cell: title.first_cell,
+                cells: title.cells,
             }),
         }
     }
 
     /// Applies new rules. The placement logic learns changed node phases the same way as changes of the roster.
-    fn apply_rules(&mut self, book: Deployment, label: String) {
+    fn apply_rules(&mut self, deployment: Deployment, label: String) {
         let nodes: Vec<RosterNode> = self.roster.nodes.values().cloned().collect();
-        let before: Vec<Phase> = nodes.iter().map(|n| self.effective_phase(n)).collect();
-        (self.deployment, self.rules_label) = (book, label);
+        let phases: Vec<Phase> = nodes.iter().map(|n| self.effective_phase(n)).collect();
+        (self.deployment, self.rules_label) = (deployment, label);
         self.rule_changes += 1;
-        let other = nodes.iter().zip(before).filter(|(n, was)| self.effective_phase(n) != *was);
-        let other: Vec<ListedNode> = other.map(|(n, _)| self.listed_node(n)).collect();
-        if !other.is_empty() {
-            let named: Vec<String> = other.iter().map(|l| format!("{} {:?}", l.node.0, l.phase)).collect();
-            self.log_line(None, format!("changed by the agreed node list: {}", named.join(", ")));
-            self.round.list_changes.push(ListChange::Changed(other));
+        let changed = nodes.iter().zip(phases).filter(|(n, previous)| self.effective_phase(n) != *previous);
+        let changed: Vec<ListedNode> = changed.map(|(n, _)| self.listed_node(n)).collect();
+        if !changed.is_empty() {
+            let names: Vec<String> =
+                changed.iter().map(|node| format!("{} {:?}", node.node.0, node.phase)).collect();
+            self.log_line(None, format!("changed by the agreed node list: {}", names.join(", ")));
+            self.round.list_changes.push(ListChange::Changed(changed));
             self.update_links();
         }
     }
 
-    fn listed_node(&self, n: &RosterNode) -> ListedNode {
-        let f = &self.deployment.fleet;
+    fn listed_node(&self, node: &RosterNode) -> ListedNode {
+        let fleet = &self.deployment.fleet;
         ListedNode {
-            node: NodeId(n.id),
-            zone: f.zones.iter().position(|z| *z == n.zone).unwrap_or(0) as u16,
-            kind: f.kinds.keys().position(|k| *k == n.kind).unwrap_or(0) as u8,
-            cell: n.cell,
-            phase: match self.effective_phase(n) {
+            node: NodeId(node.id),
+            zone: fleet.zones.iter().position(|z| *z == node.zone).unwrap_or(0) as u16,
+            kind: fleet.kinds.keys().position(|k| *k == node.kind).unwrap_or(0) as u8,
+            cell: node.cell,
+            phase: match self.effective_phase(node) {
                 Phase::Ready => ListPhase::Ready,
                 Phase::Draining => ListPhase::Draining,
                 Phase::Gone => ListPhase::Gone,
             },
-            size: n.size,
-            up_since: n.up_since,
+            size: node.size,
+            up_since: node.up_since,
         }
     }
 
@@ -1011,9 +1073,9 @@
         if let Err(e) = crate::roster::check(&nodes, &titles, &self.deployment.fleet) {
             return self.log_line(None, format!("cached roster list not used: {e}"));
         }
-        let lines = nodes.iter().map(|n| self.listed_node(n)).collect();
+        let listed = nodes.iter().map(|n| self.listed_node(n)).collect();
         self.roster = list;
-        self.round.list_changes.push(ListChange::Cached(lines));
+        self.round.list_changes.push(ListChange::Cached(listed));
         self.update_links();
     }
 
@@ -1057,23 +1119,23 @@
 
     /// Opens and closes links so that they match the node list.
     fn update_links(&mut self) {
-        let gone: Vec<u32> =
+        let removed: Vec<u32> =
             self.links.keys().copied().filter(|id| !self.roster.nodes.contains_key(id)).collect();
-        for node in gone {
+        for node in removed {
             self.drop_link(node);
         }
         let nodes: Vec<RosterNode> = self.roster.nodes.values().cloned().collect();
-        for n in nodes {
-            if self.links.get(&n.id).is_some_and(|l| l.address != n.address) {
-                self.drop_link(n.id);
+        for node in nodes {
+            if self.links.get(&node.id).is_some_and(|l| l.address != node.address) {
+                self.drop_link(node.id);
             }
-            if self.effective_phase(&n) == Phase::Ready {
-                self.links.entry(n.id).or_insert_with(|| Link::new(n.address));
-                self.dial_if_new(n.id);
-            } else if let Some(link) = self.links.get_mut(&n.id) {
+            if self.effective_phase(&node) == Phase::Ready {
+                self.links.entry(node.id).or_insert_with(|| Link::new(node.address));
+                self.dial_if_new(node.id);
+            } else if let Some(link) = self.links.get_mut(&node.id) {
                 // SETUPs that still wait for the connection must not be sent to a node that is not ready.
-                let waiting = std::mem::take(&mut link.waiting_setups);
-                waiting.into_iter().for_each(|id| self.abandon_setup(id, SetupOutcome::NeverSent, false));
+                let setups = std::mem::take(&mut link.waiting_setups);
+                setups.into_iter().for_each(|id| self.abandon_setup(id, SetupOutcome::NeverSent, false));
             }
         }
     }
@@ -1097,20 +1159,23 @@
     fn handle_timer(&mut self, timer: Timer) {
         match timer {
             Timer::SetupTimeout { sess, number } => {
-                let out = self.sessions.get(&sess).filter(|s| s.stage == Stage::Pending);
-                if out.and_then(|s| s.attempt.as_ref()).is_some_and(|a| a.number == number) {
+                let pending = self.sessions.get(&sess).filter(|session| session.stage == Stage::Pending);
+                if pending
+                    .and_then(|session| session.attempt.as_ref())
+                    .is_some_and(|attempt| attempt.number == number)
+                {
                     self.abandon_setup(sess, SetupOutcome::TimedOut, false);
                 }
             }
             Timer::AnswerDeadline { sess } => {
-                let owed = self.sessions.get(&sess).filter(|s| s.stage == Stage::Pending);
-                if owed.is_some_and(|s| s.request.is_some()) {
+                let pending = self.sessions.get(&sess).filter(|session| session.stage == Stage::Pending);
+                if pending.is_some_and(|session| session.request.is_some()) {
                     // The request still waits for its seat; no SETUP was sent.
                     let come_back = self.deployment.director.come_back;
                     self.send_final(sess, |key| ToPlayer::Busy { key, come_back });
                     return self.finish(sess);
                 }
-                match owed.map(|s| s.attempt.is_some()) {
+                match pending.map(|session| session.attempt.is_some()) {
                     None => {}
                     Some(true) => self.abandon_setup(sess, SetupOutcome::TimedOut, false),
                     // The end of its last SETUP is queued for the placement logic, which answers in this round.
@@ -1134,19 +1199,22 @@
                 if self
                     .sessions
                     .get(&sess)
-                    .is_some_and(|s| s.sock.is_none() && s.socket_changes == socket_changes)
+                    .is_some_and(|session| session.sock.is_none() && session.socket_changes == socket_changes)
                 {
                     self.stop_session(sess);
                 }
             }
             Timer::TeardownTimeout { sess } => {
-                if let Some(node) = self.sessions.get(&sess).and_then(|s| s.attempt.as_ref().map(|a| a.node))
+                if let Some(node) = self
+                    .sessions
+                    .get(&sess)
+                    .and_then(|session| session.attempt.as_ref().map(|attempt| attempt.node))
                 {
                     self.complete_teardown(sess, node, LoadReport::default());
                 }
             }
             Timer::Forget { sess } => {
-                if self.sessions.get(&sess).is_some_and(|s| s.stage == Stage::Finished) {
+                if self.sessions.get(&sess).is_some_and(|session| session.stage == Stage::Finished) {
                     // This is the oldest one, since all are kept equally long, unless the limit removed it earlier.
                     if self.finished.front() == Some(&sess) {
                         self.finished.pop_front();
@@ -1191,25 +1259,25 @@
 
     /// Checks the liveness of a link: closes it if it has work and is silent for too long, probes it if it is quiet.
     fn check_liveness(&mut self, node: u32, number: u64) {
-        let (quiet, dead) = (self.deployment.node_links.quiet, self.deployment.node_links.dead_after);
+        let (quiet, dead_after) = (self.deployment.node_links.quiet, self.deployment.node_links.dead_after);
         let now = self.now;
-        let Some(l) = self
+        let Some(link) = self
             .links
             .get_mut(&node)
-            .filter(|l| l.number == number && l.connection == ConnectionState::Connected)
+            .filter(|link| link.number == number && link.connection == ConnectionState::Connected)
         else {
             return;
         };
-        let silence = now - l.last_received_at;
-        if (!l.sessions.is_empty() || !l.outstanding.is_empty()) && silence > dead {
+        let silence = now - link.last_received_at;
+        if (!link.sessions.is_empty() || !link.outstanding.is_empty()) && silence > dead_after {
             self.log_line(
                 None,
                 format!("node {node}: nothing received for {silence:.1} s; closing its link"),
             );
             return self.close_link(node, number, true);
         }
-        if silence > quiet && now - l.last_probe_at > quiet {
-            l.last_probe_at = now;
+        if silence > quiet && now - link.last_probe_at > quiet {
+            link.last_probe_at = now;
             let uri = self.node_uri(node, "");
             self.send_request(
                 node,
@@ -1228,8 +1296,12 @@
             return;
         }
         self.save_list();
-        let playing: Vec<u64> =
-            self.sessions.iter().filter(|(_, s)| s.stage == Stage::Playing).map(|(id, _)| *id).collect();
+        let playing: Vec<u64> = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| session.stage == Stage::Playing)
+            .map(|(id, _)| *id)
+            .collect();
         for id in playing {
             self.send_teardown(id);
             self.send_ended(id, EndReason::Closing);
@@ -1242,30 +1314,30 @@
 
 impl Orders for CoreState {
     fn set_rung(&mut self, sess: SessId, rung: u8) {
-        let may = self.lease_valid();
-        let Some(s) = self.sessions.get_mut(&sess.0) else { return };
-        if s.stage == Stage::Playing && !may {
+        let lease_valid = self.lease_valid();
+        let Some(session) = self.sessions.get_mut(&sess.0) else { return };
+        if session.stage == Stage::Playing && !lease_valid {
             // Without a lease the floors may have changed meanwhile, so a playing session keeps its rung.
-            let rung = s.rung;
+            let rung = session.rung;
             return self.round.measurements.push(Measurement::Rung { sess, rung });
         }
-        let was = std::mem::replace(&mut s.rung, rung);
-        if s.stage != Stage::Playing || was == rung {
+        let was = std::mem::replace(&mut session.rung, rung);
+        if session.stage != Stage::Playing || was == rung {
             return;
         }
-        let (key, sock) = (s.key.clone(), s.sock);
-        if let Some(ToPlayer::Playing { rung: answered, .. }) = &mut s.final_answer {
+        let (key, sock) = (session.key.clone(), session.sock);
+        if let Some(ToPlayer::Playing { rung: answered_rung, .. }) = &mut session.final_answer {
             // A retry receives the rung in force.
-            *answered = rung;
+            *answered_rung = rung;
         }
-        let Some(a) = s.attempt.clone() else { return };
-        let Some(rtsp_id) = a.rtsp_id else { return };
-        let uri = self.node_uri(a.node, "");
-        let with = [(header_names::SESSION, rtsp_id), (header_names::RUNG, rung.to_string())];
+        let Some(attempt) = session.attempt.clone() else { return };
+        let Some(rtsp_id) = attempt.rtsp_id else { return };
+        let uri = self.node_uri(attempt.node, "");
+        let headers = [(header_names::SESSION, rtsp_id), (header_names::RUNG, rung.to_string())];
         self.next_batch += 1;
         let batch = self.next_batch;
-        let asked = RequestPurpose::Rung { sess: sess.0, rung, was, batch };
-        self.send_request(a.node, asked, Method::SetParameter, &uri, &with);
+        let purpose = RequestPurpose::Rung { sess: sess.0, rung, was, batch };
+        self.send_request(attempt.node, purpose, Method::SetParameter, &uri, &headers);
         self.send(sock, ToPlayer::Rung { key, rung });
     }
 
@@ -1273,15 +1345,15 @@
         let (id, now) = (sess.0, self.now);
         self.next_batch += 1;
         let batch = self.next_batch;
-        let free = |s: &&mut Session| s.stage == Stage::Pending && s.attempt.is_none();
-        let Some(s) = self.sessions.get_mut(&id).filter(free) else {
+        let can_start = |session: &&mut Session| session.stage == Stage::Pending && session.attempt.is_none();
+        let Some(session) = self.sessions.get_mut(&id).filter(can_start) else {
             // A session never has two outstanding SETUPs, whatever the placement logic orders.
             return self.effects.push(Effect::Fault(format!(
                 "SETUP ordered for session {id}, which is not pending or already has one"
             )));
         };
-        let number = s.setup_count;
-        s.setup_count = s.setup_count.saturating_add(1);
+        let number = session.setup_count;
+        session.setup_count = session.setup_count.saturating_add(1);
         let attempt = Attempt {
             number,
             node: node.0,
@@ -1293,7 +1365,7 @@
             rtsp_id: None,
             play_ok: false,
         };
-        s.attempt = Some(attempt);
+        session.attempt = Some(attempt);
         if let Some(wait) = wait {
             self.timers.set(now + wait, Timer::SetupTimeout { sess: id, number });
         }
@@ -1304,10 +1376,10 @@
             return self.abandon_setup(id, SetupOutcome::Unreachable, false);
         };
         link.sessions.insert(id);
-        let up = link.connection == ConnectionState::Connected;
+        let connected = link.connection == ConnectionState::Connected;
         self.log_line(Some(id), format!("SETUP {number} to node {}", node.0));
         let Some(link) = self.links.get_mut(&node.0) else { return };
-        if up {
+        if connected {
             self.write_setup(id);
         } else {
             link.waiting_setups.push(id);
@@ -1316,8 +1388,9 @@
     }
 
     fn withdraw(&mut self, sess: SessId, setup: u8) {
-        let out = self.sessions.get(&sess.0).filter(|s| s.stage == Stage::Pending);
-        if out.and_then(|s| s.attempt.as_ref()).is_some_and(|a| a.number == setup) {
+        let pending = self.sessions.get(&sess.0).filter(|session| session.stage == Stage::Pending);
+        if pending.and_then(|session| session.attempt.as_ref()).is_some_and(|attempt| attempt.number == setup)
+        {
             self.abandon_setup(sess.0, SetupOutcome::Withdrawn, false);
         }
     }
@@ -1334,11 +1407,13 @@
 
     fn shift(&mut self, sess: SessId) {
         let id = sess.0;
-        let Some(s) = self.sessions.get(&id).filter(|s| s.stage == Stage::Playing) else { return };
-        let Some(a) = s.attempt.clone() else { return };
+        let Some(session) = self.sessions.get(&id).filter(|session| session.stage == Stage::Playing) else {
+            return;
+        };
+        let Some(attempt) = session.attempt.clone() else { return };
         self.send_teardown(id);
-        self.detach_from_link(id, &a);
-        self.report_ended(id, a.node, SetupOutcome::Withdrawn, true, LoadReport::default());
+        self.detach_from_link(id, &attempt);
+        self.report_ended(id, attempt.node, SetupOutcome::Withdrawn, true, LoadReport::default());
         self.send_ended(id, EndReason::Shifted);
         self.finish(id);
     }
--- a/crates/kelpdoor-director/src/core/seats.rs
+++ b/crates/kelpdoor-director/src/core/seats.rs
@@ -22,12 +22,12 @@
 
 impl CoreState {
     /// Handles a message that came with a token.
-    pub(super) fn player_with_token(
-        &mut self, sock: u64, message: FromPlayer, waited: f64, check: TokenCheck,
+    pub(super) fn handle_player_with_token(
+        &mut self, sock: u64, message: FromPlayer, delay: f64, check: TokenCheck,
     ) {
         match message {
             FromPlayer::Renew { key, .. } => self.renew_token(sock, &key, check),
-            message => self.handle_player(sock, message, waited, check),
+            message => self.handle_player(sock, message, delay, check),
         }
     }
 
@@ -47,51 +47,53 @@
             TokenCheck::Refused(why) => Err((ErrorCode::TokenRefused, why)),
             TokenCheck::TooFast => Err((ErrorCode::TooFast, "too many tokens a second".to_owned())),
             // The token expired while the message waited in the queue.
-            TokenCheck::Valid(e) if e.expires <= self.now => {
+            TokenCheck::Valid(entitlement) if entitlement.expires <= self.now => {
                 Err((ErrorCode::TokenRefused, EXPIRED.to_owned()))
             }
-            TokenCheck::Valid(e) if e.group.as_ref().is_some_and(|g| *g != group.name) => {
-                let of = e.group.unwrap_or_default();
-                Err((ErrorCode::TokenRefused, format!("the token is for group {of:?}")))
+            TokenCheck::Valid(entitlement)
+                if entitlement.group.as_ref().is_some_and(|name| *name != group.name) =>
+            {
+                let token_group = entitlement.group.unwrap_or_default();
+                Err((ErrorCode::TokenRefused, format!("the token is for group {token_group:?}")))
             }
-            TokenCheck::Valid(e) => Ok(Some(*e)),
+            TokenCheck::Valid(entitlement) => Ok(Some(*entitlement)),
         }
     }
 
     /// Requests a seat for a session. The holder may answer at once.
-    pub(super) fn request_seat(&mut self, id: u64, left: f64, e: Entitlement) {
+    pub(super) fn request_seat(&mut self, id: u64, time_left: f64, entitlement: Entitlement) {
         let now = self.now;
         // Timers first: a lease that expired while this process was paused must not grant a seat.
         self.tick_holder();
-        let seat_id: SeatId = (e.school, e.token);
-        if let Some(s) = self.sessions.get_mut(&id) {
-            s.seat = Some(Seat {
+        let seat_id: SeatId = (entitlement.school, entitlement.token);
+        if let Some(session) = self.sessions.get_mut(&id) {
+            session.seat = Some(Seat {
                 id: seat_id.clone(),
-                expires: e.expires,
+                expires: entitlement.expires,
                 waiting: true,
                 expiry_timer_set: false,
             });
         }
-        if let Some(before) = self.sess_by_seat.insert(seat_id.clone(), id) {
-            self.seat_lost(before, seats::EndReason::Moved);
+        if let Some(previous) = self.sess_by_seat.insert(seat_id.clone(), id) {
+            self.seat_lost(previous, seats::EndReason::Moved);
         }
         let Some(holder) = &mut self.holder else { return };
-        let outputs = holder.request_seat(now, &seat_id.0, &seat_id.1, e.expires, left);
+        let outputs = holder.request_seat(now, &seat_id.0, &seat_id.1, entitlement.expires, time_left);
         self.apply_holder_outputs(outputs);
     }
 
     fn renew_token(&mut self, sock: u64, key: &RequestKey, check: TokenCheck) {
-        let e = match check {
-            TokenCheck::Valid(e) if e.expires <= self.now => {
+        let entitlement = match check {
+            TokenCheck::Valid(entitlement) if entitlement.expires <= self.now => {
                 return self.send_error(sock, key, ErrorCode::TokenRefused, EXPIRED);
             }
-            TokenCheck::Valid(e) => e,
+            TokenCheck::Valid(entitlement) => entitlement,
             TokenCheck::Refused(why) => return self.send_error(sock, key, ErrorCode::TokenRefused, why),
             TokenCheck::TooFast => {
                 return self.send_error(sock, key, ErrorCode::TooFast, "too many tokens a second");
             }
             TokenCheck::Missing => {
-                return self.send_error(sock, key, ErrorCode::TokenMissing, "no token came");
+                return self.send_error(sock, key, ErrorCode::TokenMissing, "the message has no token");
             }
         };
         self.tick_holder();
@@ -99,21 +101,30 @@
             return self.send_error(sock, key, ErrorCode::UnknownKey, "no session has this key");
         };
         let now = self.now;
-        let live = self.sessions.get_mut(&id).filter(|s| matches!(s.stage, Stage::Pending | Stage::Playing));
-        let Some(seat) = live.and_then(|s| s.seat.as_mut()) else {
+        let active = self
+            .sessions
+            .get_mut(&id)
+            .filter(|session| matches!(session.stage, Stage::Pending | Stage::Playing));
+        let Some(seat) = active.and_then(|session| session.seat.as_mut()) else {
             return self.send_error(sock, key, ErrorCode::UnknownKey, "no session with a seat has this key");
         };
-        if seat.id != (e.school.clone(), e.token.clone()) {
-            let what = "the token is not a renewal of the session's: its school or id is another";
-            return self.send_error(sock, key, ErrorCode::TokenRefused, what);
+        if seat.id != (entitlement.school.clone(), entitlement.token.clone()) {
+            let message = "the token is not a renewal of the session's: its school or id is another";
+            return self.send_error(sock, key, ErrorCode::TokenRefused, message);
         }
-        if e.expires > seat.expires {
-            seat.expires = e.expires;
+        if entitlement.expires > seat.expires {
+            seat.expires = entitlement.expires;
         }
         let (waiting, lasts) = (seat.waiting, seat.expires - now);
         self.attach_socket(id, sock);
         let Some(holder) = &mut self.holder else { return };
-        let outputs = holder.request_seat(now, &e.school, &e.token, e.expires, f64::INFINITY);
+        let outputs = holder.request_seat(
+            now,
+            &entitlement.school,
+            &entitlement.token,
+            entitlement.expires,
+            f64::INFINITY,
+        );
         if !waiting {
             self.set_expiry_timer(id);
         }
@@ -125,8 +136,10 @@
     /// token is renewed.
     pub(super) fn set_expiry_timer(&mut self, id: u64) {
         let warn = self.deployment.tokens.as_ref().map_or(0.0, |t| t.warn);
-        let playing = self.sessions.get_mut(&id).filter(|s| s.stage == Stage::Playing);
-        if let Some(seat) = playing.and_then(|s| s.seat.as_mut()).filter(|seat| !seat.expiry_timer_set) {
+        let playing = self.sessions.get_mut(&id).filter(|session| session.stage == Stage::Playing);
+        if let Some(seat) =
+            playing.and_then(|session| session.seat.as_mut()).filter(|seat| !seat.expiry_timer_set)
+        {
             seat.expiry_timer_set = true;
             self.timers.set((seat.expires - warn).max(self.now), Timer::TokenExpiring { sess: id });
         }
@@ -134,22 +147,25 @@
 
     pub(super) fn warn_expiring(&mut self, id: u64) {
         let warn = self.deployment.tokens.as_ref().map_or(0.0, |t| t.warn);
-        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.stage == Stage::Playing) else { return };
-        let Some(seat) = s.seat.as_mut() else { return };
+        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.stage == Stage::Playing)
+        else {
+            return;
+        };
+        let Some(seat) = session.seat.as_mut() else { return };
         seat.expiry_timer_set = false;
         let after = seat.expires - self.now;
         if after > warn {
             // The token was renewed in the meantime.
             return self.set_expiry_timer(id);
         }
-        let (sock, key) = (s.sock, s.key.clone());
+        let (sock, key) = (session.sock, session.key.clone());
         if after > 0.0 {
             self.send(sock, ToPlayer::Expiring { key, after });
         }
     }
 
     pub(super) fn tick_holder(&mut self) {
-        let outputs = self.holder.as_mut().map(|h| h.tick(self.now)).unwrap_or_default();
+        let outputs = self.holder.as_mut().map(|holder| holder.tick(self.now)).unwrap_or_default();
         self.apply_holder_outputs(outputs);
     }
 
@@ -162,7 +178,8 @@
                     match self.sess_by_seat.get(&(school.clone(), token.clone())) {
                         Some(&id) => self.seat_granted(id),
                         None => {
-                            let outputs = self.holder.as_mut().map(|h| h.release(self.now, &school, &token));
+                            let outputs =
+                                self.holder.as_mut().map(|holder| holder.release(self.now, &school, &token));
                             self.apply_holder_outputs(outputs.unwrap_or_default());
                         }
                     }
@@ -183,7 +200,7 @@
 
     /// Passes a request to the placement logic when its seat is granted for the first time.
     fn seat_granted(&mut self, id: u64) {
-        let Some(seat) = self.sessions.get_mut(&id).and_then(|s| s.seat.as_mut()) else { return };
+        let Some(seat) = self.sessions.get_mut(&id).and_then(|session| session.seat.as_mut()) else { return };
         if std::mem::replace(&mut seat.waiting, false) {
             self.admit(id);
         }
@@ -191,8 +208,8 @@
 
     fn seat_refused(&mut self, id: u64, why: RefusalReason) {
         let max_come_back = self.deployment.director.come_back;
-        if let Some(s) = self.sessions.get_mut(&id) {
-            s.seat = None;
+        if let Some(session) = self.sessions.get_mut(&id) {
+            session.seat = None;
         }
         match why {
             RefusalReason::Full { come_back } => {
@@ -212,13 +229,13 @@
 
     /// Ends a session that lost its seat, whatever its stage.
     fn seat_lost(&mut self, id: u64, why: seats::EndReason) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        let waiting = s.seat.take().is_some_and(|seat| seat.waiting);
-        let (stage, out) = (s.stage, s.attempt.is_some());
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let waiting = session.seat.take().is_some_and(|seat| seat.waiting);
+        let (stage, has_attempt) = (session.stage, session.attempt.is_some());
         match stage {
             Stage::Finished | Stage::TearingDown => {}
             Stage::Pending => {
-                match (waiting, out) {
+                match (waiting, has_attempt) {
                     (true, _) => {}
                     (false, true) => self.abandon_setup(id, SetupOutcome::Withdrawn, true),
                     (false, false) => self.round.departures.push(SessId(id)),
@@ -244,10 +261,10 @@
 
     /// Releases the seat of a finished session.
     pub(super) fn release_seat(&mut self, id: u64) {
-        let Some(seat) = self.sessions.get_mut(&id).and_then(|s| s.seat.take()) else { return };
+        let Some(seat) = self.sessions.get_mut(&id).and_then(|session| session.seat.take()) else { return };
         if self.sess_by_seat.get(&seat.id) == Some(&id) {
             self.sess_by_seat.remove(&seat.id);
-            let outputs = self.holder.as_mut().map(|h| h.release(self.now, &seat.id.0, &seat.id.1));
+            let outputs = self.holder.as_mut().map(|holder| holder.release(self.now, &seat.id.0, &seat.id.1));
             self.apply_holder_outputs(outputs.unwrap_or_default());
         }
     }
@@ -257,8 +274,8 @@
 pub(super) fn holder(
     deployment: &kelpdoor_script::Deployment, nonce: impl FnOnce() -> u64,
 ) -> Option<Holder> {
-    let k = deployment.keeper.as_ref().filter(|_| deployment.groups.iter().any(|g| g.token))?;
-    let lease = seats::LeaseTerms { duration: k.lease, clock_error: k.clock_error };
-    let timeouts = seats::HolderTimeouts::new(k.wait, k.beat_every, k.ahead);
+    let keeper = deployment.keeper.as_ref().filter(|_| deployment.groups.iter().any(|group| group.token))?;
+    let lease = seats::LeaseTerms { duration: keeper.lease, clock_error: keeper.clock_error };
+    let timeouts = seats::HolderTimeouts::new(keeper.wait, keeper.beat_every, keeper.ahead);
     Some(Holder::new(seats::DirectorId(deployment.director.me), nonce(), lease, timeouts))
 }
--- a/crates/kelpdoor-director/src/lib.rs
+++ b/crates/kelpdoor-director/src/lib.rs
@@ -1,6 +1,6 @@
-//! The director as a library: [`DirectorCore`] turns what came in into rounds of the decisions and their orders into
-//! effects, without I/O; [`serve`] owns sockets and timers round it and has no rule of its own. Two directors in
-//! one process share nothing.
+//! The director as a library. [`DirectorCore`] turns inputs into rounds of the placement logic and the resulting orders
+//! into effects, without I/O. [`serve`] runs a core with its sockets, timers and files and makes no decisions. Two
+//! directors in one process share nothing.
 
 mod core;
 pub mod effect;
--- a/crates/kelpdoor-director/src/roster.rs
+++ b/crates/kelpdoor-director/src/roster.rs
@@ -1,5 +1,5 @@
-//! The roster's feed: JSON lines with the media nodes and the titles they hold. Whole lists and changes; a message
-//! that does not hold together is refused whole, and the last good list stands.
+//! The roster protocol: JSON lines with the media nodes and the titles that they hold, as complete lists and as changes.
+//! A message that is inconsistent is refused completely, and the last valid list stays in force.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,11 +7,14 @@
 use kelpdoor_script::Fleet;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a line at most.
+/// Maximum length of a line, in bytes.
 pub const MAX_LINE: usize = 16 << 20;
+/// Maximum number of nodes in a list.
 pub const MAX_NODES: usize = 10_000;
+/// Maximum number of titles in a list.
 pub const MAX_TITLES: usize = 200_000;
 
+/// The phase of a node in its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
@@ -20,21 +23,22 @@
     Gone,
 }
 
+/// A media node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RosterNode {
     pub id: u32,
     pub address: SocketAddr,
     pub zone: String,
     pub kind: String,
-    /// Its rack is the cell modulo the number of racks.
+    /// The rack of the node is `cell` modulo the number of racks.
     pub cell: u16,
     pub phase: Phase,
     pub size: f64,
-    /// s since 1970; when its process last started, 0: long ago.
+    /// When the node's process last started, in seconds since 1970; 0 if that is long ago.
     pub up_since: f64,
 }
 
-/// A title lies on the nodes of so many cells in a row.
+/// A title, held by the nodes of `cells` consecutive cells from `first_cell`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RosterTitle {
     pub name: String,
@@ -42,60 +46,54 @@
     pub cells: u16,
 }
 
+/// A message from the roster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RosterMessage {
-    Whole {
-        version: u64,
-        nodes: Vec<RosterNode>,
-        titles: Vec<RosterTitle>,
-    },
-    /// Nodes as they are now, gone ones included; titles that are new or lie elsewhere.
-    Change {
-        version: u64,
-        nodes: Vec<RosterNode>,
-        titles: Vec<RosterTitle>,
-    },
-    /// The roster could not answer what was asked; also said by the shell when the feed breaks.
+    /// The complete list.
+    Whole { version: u64, nodes: Vec<RosterNode>, titles: Vec<RosterTitle> },
+    /// Changed nodes in their new state, including removed ones, and titles that are new or moved to other cells.
+    Change { version: u64, nodes: Vec<RosterNode>, titles: Vec<RosterTitle> },
+    /// The roster could not answer a request. The shell also reports this when the connection breaks.
     Failed,
 }
 
+/// A message to the roster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RosterRequest {
-    /// First on each connection.
-    Hello {
-        director: u32,
-    },
-    Subscribe {
-        on: bool,
-    },
+    /// The first message on each connection.
+    Hello { director: u32 },
+    /// Turns the feed of changes on or off.
+    Subscribe { on: bool },
+    /// Requests the complete list.
     Whole,
 }
 
+/// The reason why a list or a change is refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RosterError {
-    #[error("{0} nodes or titles are more than are taken")]
+    #[error("{0} nodes or titles, more than the limit")]
     TooMany(usize),
     #[error("node {0}: zone {1:?} is not in the settings")]
-    Zone(u32, String),
+    UnknownZone(u32, String),
     #[error("node {0}: kind {1:?} is not in the settings")]
-    Kind(u32, String),
-    #[error("node {0}: cell {1} of {2}")]
-    Cell(u32, u16, u16),
-    #[error("node {0}: size and up_since have to be numbers of at least 0")]
-    Number(u32),
-    #[error("node {0} is named twice")]
-    Twice(u32),
-    #[error("title {0:?}: letters, digits and . _ ~ - are asked for, 1 to 128")]
-    Name(String),
-    #[error("title {0:?}: cells {1} from {2} of {3}")]
-    Cells(String, u16, u16, u16),
-    #[error("version {0} after {1}")]
-    Version(u64, u64),
+    UnknownKind(u32, String),
+    #[error("node {0}: cell {1} is out of range, there are {2} cells")]
+    CellOutOfRange(u32, u16, u16),
+    #[error("node {0}: size and up_since must be finite and at least 0")]
+    InvalidNumber(u32),
+    #[error("node {0} is listed twice")]
+    DuplicateNode(u32),
+    #[error("title {0:?}: must have 1 to 128 letters, digits and . _ ~ -")]
+    InvalidTitleName(String),
+    #[error("title {0:?}: {1} cells from cell {2} do not fit the {3} cells of the fleet")]
+    TitleCellsOutOfRange(String, u16, u16, u16),
+    #[error("version {0} is not newer than {1}")]
+    StaleVersion(u64, u64),
 }
 
-/// The list as it stands.
+/// The list in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RosterList {
     pub version: u64,
@@ -103,44 +101,55 @@
     pub titles: BTreeMap<String, RosterTitle>,
 }
 
-/// Checks nodes and titles against the settings.
+/// Checks nodes and titles against the limits and the settings of the fleet.
+///
+/// # Errors
+/// The first violation found.
 pub fn check(nodes: &[RosterNode], titles: &[RosterTitle], fleet: &Fleet) -> Result<(), RosterError> {
     if nodes.len() > MAX_NODES || titles.len() > MAX_TITLES {
         return Err(RosterError::TooMany(nodes.len().max(titles.len())));
     }
     let mut seen = std::collections::BTreeSet::new();
-    for n in nodes {
-        if !seen.insert(n.id) {
-            return Err(RosterError::Twice(n.id));
+    for node in nodes {
+        if !seen.insert(node.id) {
+            return Err(RosterError::DuplicateNode(node.id));
         }
-        if !fleet.zones.contains(&n.zone) {
-            return Err(RosterError::Zone(n.id, n.zone.clone()));
+        if !fleet.zones.contains(&node.zone) {
+            return Err(RosterError::UnknownZone(node.id, node.zone.clone()));
         }
-        if !fleet.kinds.contains_key(&n.kind) {
-            return Err(RosterError::Kind(n.id, n.kind.clone()));
+        if !fleet.kinds.contains_key(&node.kind) {
+            return Err(RosterError::UnknownKind(node.id, node.kind.clone()));
         }
-        if n.cell >= fleet.cells {
-            return Err(RosterError::Cell(n.id, n.cell, fleet.cells));
+        if node.cell >= fleet.cells {
+            return Err(RosterError::CellOutOfRange(node.id, node.cell, fleet.cells));
         }
-        let numbers = [n.size, n.up_since];
+        let numbers = [node.size, node.up_since];
         if !numbers.iter().all(|v| v.is_finite() && *v >= 0.0) {
-            return Err(RosterError::Number(n.id));
+            return Err(RosterError::InvalidNumber(node.id));
         }
     }
-    for t in titles {
-        let plain = |b: u8| b.is_ascii_alphanumeric() || b"._~-".contains(&b);
-        if t.name.is_empty() || t.name.len() > 128 || !t.name.bytes().all(plain) {
-            return Err(RosterError::Name(t.name.clone()));
+    for title in titles {
+        let allowed = |b: u8| b.is_ascii_alphanumeric() || b"._~-".contains(&b);
+        if title.name.is_empty() || title.name.len() > 128 || !title.name.bytes().all(allowed) {
+            return Err(RosterError::InvalidTitleName(title.name.clone()));
         }
-        if t.first_cell >= fleet.cells || t.cells == 0 || t.cells > fleet.cells {
-            return Err(RosterError::Cells(t.name.clone(), t.cells, t.first_cell, fleet.cells));
+        if title.first_cell >= fleet.cells || title.cells == 0 || title.cells > fleet.cells {
+            return Err(RosterError::TitleCellsOutOfRange(
+                title.name.clone(),
+                title.cells,
+                title.first_cell,
+                fleet.cells,
+            ));
         }
     }
     Ok(())
 }
 
 impl RosterList {
-    /// Takes a message in whole, or not at all.
+    /// Applies a message completely or not at all.
+    ///
+    /// # Errors
+    /// The message violates a limit or the settings, or its version is not newer than the list.
     pub fn apply(&mut self, message: &RosterMessage, fleet: &Fleet) -> Result<(), RosterError> {
         match message {
             RosterMessage::Failed => {}
@@ -148,28 +157,28 @@
                 check(nodes, titles, fleet)?;
                 *self = RosterList {
                     version: *version,
-                    nodes: nodes.iter().map(|n| (n.id, n.clone())).collect(),
-                    titles: titles.iter().map(|t| (t.name.clone(), t.clone())).collect(),
+                    nodes: nodes.iter().map(|node| (node.id, node.clone())).collect(),
+                    titles: titles.iter().map(|title| (title.name.clone(), title.clone())).collect(),
                 };
             }
             RosterMessage::Change { version, nodes, titles } => {
                 check(nodes, titles, fleet)?;
                 if *version <= self.version {
-                    return Err(RosterError::Version(*version, self.version));
+                    return Err(RosterError::StaleVersion(*version, self.version));
                 }
                 if self.titles.len() + titles.len() > MAX_TITLES || self.nodes.len() + nodes.len() > MAX_NODES
                 {
                     return Err(RosterError::TooMany(self.titles.len() + titles.len()));
                 }
                 self.version = *version;
-                for n in nodes {
-                    if n.phase == Phase::Gone {
-                        self.nodes.remove(&n.id);
+                for node in nodes {
+                    if node.phase == Phase::Gone {
+                        self.nodes.remove(&node.id);
                     } else {
-                        self.nodes.insert(n.id, n.clone());
+                        self.nodes.insert(node.id, node.clone());
                     }
                 }
-                self.titles.extend(titles.iter().map(|t| (t.name.clone(), t.clone())));
+                self.titles.extend(titles.iter().map(|title| (title.name.clone(), title.clone())));
             }
         }
         Ok(())
--- a/crates/kelpdoor-director/src/store.rs
+++ b/crates/kelpdoor-director/src/store.rs
@@ -1,4 +1,4 @@
-//! The last good list on disk.
+//! The file with the last valid node list, for the next start.
 
 use std::path::Path;
 
@@ -8,18 +8,18 @@
 
 const FORMAT: &str = "kelpdoor-roster 1";
 
-/// Writes the list whole or not at all.
+/// Saves the list atomically.
 ///
 /// # Errors
-/// Where the folder cannot be written; the old file stands then.
+/// The file cannot be written. The old file stays in place.
 pub fn save_list(path: &Path, list: &RosterList) -> Result<(), StoreError> {
     kelpdoor_kept::save(path, FORMAT, list)
 }
 
-/// Reads the list back; `None` where there is no file.
+/// Loads the list; `None` if there is no file.
 ///
 /// # Errors
-/// A file that is not as it was written is named and never loaded.
+/// The file cannot be read or is damaged; a damaged file is never loaded.
 pub fn load_list(path: &Path) -> Result<Option<RosterList>, StoreError> {
     kelpdoor_kept::load(path, FORMAT)
 }
--- a/crates/kelpdoor-director/tests/story.rs
+++ b/crates/kelpdoor-director/tests/story.rs
@@ -474,18 +474,18 @@
         _ => panic!("a SETUP goes out: {effects:?}"),
     };
     let (node, link, pipe) = sent(&effects);
-    let out = bench.desk.counts().requests_out;
+    let out = bench.desk.counts().outstanding_requests;
     let effects = bench.input(Input::Unsent { node, link, batch: pipe });
     assert_eq!(answers(&effects), [busy("key-00004")]);
-    assert_eq!(bench.desk.counts().requests_out, out - 2);
+    assert_eq!(bench.desk.counts().outstanding_requests, out - 2);
     // Nor if its viewer has stopped it meanwhile, when its end alone is still waited for.
-    let out = bench.desk.counts().requests_out;
+    let out = bench.desk.counts().outstanding_requests;
     let effects = bench.start(1, "key-00005", "any", "t0");
     let (node, link, pipe) = sent(&effects);
     bench.input(Input::Player { sock: 1, message: FromPlayer::Stop { key: RequestKey("key-00005".into()) } });
     let effects = bench.input(Input::Unsent { node, link, batch: pipe });
     assert_eq!(answers(&effects), [""; 0]);
-    assert_eq!(bench.desk.counts().requests_out, out + 1, "its TEARDOWN");
+    assert_eq!(bench.desk.counts().outstanding_requests, out + 1, "its TEARDOWN");
 }
 
 #[test]
@@ -510,12 +510,12 @@
         })
         .collect();
     let [(node, link, batch)] = leased[..] else { panic!("one rise: {effects:?}") };
-    let out = bench.desk.counts().requests_out;
+    let out = bench.desk.counts().outstanding_requests;
     trace(
         &bench.input(Input::Unsent { node, link, batch }),
         expect![[r#"1 < {"key":"key-00001","rung":1,"type":"rung"}"#]],
     );
-    assert_eq!(bench.desk.counts().requests_out, out - 1, "nothing is waited for");
+    assert_eq!(bench.desk.counts().outstanding_requests, out - 1, "nothing is waited for");
     // Given back twice, or by an older link: nothing.
     assert!(bench.input(Input::Unsent { node, link, batch }).is_empty());
 }
--- a/crates/kelpdoor-lab/tests/seats.rs
+++ b/crates/kelpdoor-lab/tests/seats.rs
@@ -68,7 +68,7 @@
         let running =
             serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
         within(10, async {
-            while running.counts().links_up < 4 {
+            while running.counts().connected_links < 4 {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         })
@@ -253,7 +253,7 @@
         let running =
             serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
         within(10, async {
-            while running.counts().links_up < 4 {
+            while running.counts().connected_links < 4 {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         })
--- a/crates/kelpdoor-lab/tests/sockets.rs
+++ b/crates/kelpdoor-lab/tests/sockets.rs
@@ -52,7 +52,7 @@
     let script = director_script(&shared, &size, 0, world.roster_at, Path::new("/nonexistent/list"));
     let deployment = Deployment::parse("test", &script).expect("good settings");
     let running = serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
-    until(|| running.counts().links_up == 4).await;
+    until(|| running.counts().connected_links == 4).await;
     (world, running)
 }
 
