--- a/crates/kelpdoor-director/benches/desk.rs
+++ b/crates/kelpdoor-director/benches/desk.rs
@@ -1,12 +1,12 @@
-//! What a session costs the desk: start, SETUP's and PLAY's answers, stop, TEARDOWN's answer, each in a round of its
-//! own, with so many held beside it. Medians of five runs; the decisions alone are timed beside it.
+//! Cost of a session in the core: start, responses to SETUP and PLAY, stop and response to TEARDOWN, each in its own
+//! round, while a number of other sessions are active. Prints medians of five runs.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use std::time::Instant;
 
-use common::{Bench, book, ok, requests, start};
+use common::{Harness, deployment, ok, requests, start};
 use kelpdoor_api::{FromPlayer, RequestKey};
 use kelpdoor_director::{Effect, Input, NodeEvent, Phase, RosterMessage, RosterNode, RosterTitle};
 use kelpdoor_rtsp::{Method, header_names};
@@ -15,21 +15,22 @@
 const RATE: f64 = 500.0;
 
 fn fleet() -> RosterMessage {
-    let node = |id: u32| RosterNode { size: 50.0, cell: id as u16, ..common::listed(id % 6, Phase::Ready) };
+    let node =
+        |id: u32| RosterNode { size: 50.0, cell: id as u16, ..common::roster_node(id % 6, Phase::Ready) };
     let nodes = (0..NODES).map(|id| RosterNode { id, ..node(id) }).collect();
     let titles = (0..40).map(|k| RosterTitle { name: format!("t{k}"), first_cell: k, cells: 5 }).collect();
     RosterMessage::Whole { version: 1, nodes, titles }
 }
 
 struct Driver {
-    bench: Bench,
+    harness: Harness,
     next: u64,
     held: std::collections::VecDeque<String>,
     inputs: usize,
 }
 
 impl Driver {
-    /// Whatever the desk sent to nodes is answered, each answer in a round of its own.
+    /// Answers all requests that the core sent to nodes, each response in its own round.
     fn answer(&mut self, effects: Vec<Effect>) {
         let mut todo = effects;
         while !todo.is_empty() {
@@ -44,7 +45,7 @@
                     answer = answer.with(header_names::ASKED, "link=0.5");
                 }
                 self.inputs += 1;
-                more.extend(self.bench.input(Input::Node {
+                more.extend(self.harness.input(Input::Node {
                     node,
                     link,
                     event: NodeEvent::Received(answer.into()),
@@ -55,13 +56,13 @@
     }
 
     fn session(&mut self, hold: usize) {
-        self.bench.now += 1.0 / RATE;
+        self.harness.now += 1.0 / RATE;
         self.next += 1;
         let key = format!("key-{:07}", self.next);
         let title = format!("t{}", self.next % 40);
         self.inputs += 1;
         let effects =
-            self.bench.input(Input::Player { sock: self.next % 200, message: start(&key, "any", &title) });
+            self.harness.input(Input::Player { sock: self.next % 200, message: start(&key, "any", &title) });
         self.answer(effects);
         self.held.push_back(key);
         if self.held.len() > hold
@@ -69,25 +70,25 @@
         {
             self.inputs += 1;
             let message = FromPlayer::Stop { key: RequestKey(key) };
-            let effects = self.bench.input(Input::Player { sock: 1, message });
+            let effects = self.harness.input(Input::Player { sock: 1, message });
             self.answer(effects);
         }
     }
 }
 
 fn main() {
-    let mut wide = book();
+    let mut wide = deployment();
     wide.fleet.cells = NODES as u16;
     wide.fleet.kinds.insert("box".into(), 5000.0);
     wide.players.sessions = 100_000;
     wide.players.remember = 5.0;
     println!("{:>8} {:>14} {:>14}", "held", "us a session", "us an input");
     for hold in [100, 1000, 10_000] {
-        let bench = Bench::new(&wide, 1);
-        let mut d = Driver { bench, next: 0, held: Default::default(), inputs: 0 };
-        let effects = d.bench.input(Input::Roster(fleet()));
-        d.bench.connect(&effects);
-        d.bench.wait(6.0);
+        let harness = Harness::new(&wide, 1);
+        let mut d = Driver { harness, next: 0, held: Default::default(), inputs: 0 };
+        let effects = d.harness.input(Input::Roster(fleet()));
+        d.harness.connect(&effects);
+        d.harness.wait(6.0);
         (0..hold).for_each(|_| d.session(hold));
         let mut runs: Vec<(f64, f64)> = (0..5)
             .map(|_| {
--- a/crates/kelpdoor-director/tests/common/mod.rs
+++ b/crates/kelpdoor-director/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A desk in virtual time, with a small fleet.
+//! A director core in virtual time with a small fleet.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use kelpdoor_api::{FromPlayer, RequestKey, ToPlayer};
@@ -8,9 +8,10 @@
 use kelpdoor_rtsp::{Message, Request, Response};
 use kelpdoor_script::Deployment;
 
+/// Start of the virtual time, in seconds since 1970.
 pub const START: f64 = 1_000_000.0;
 
-pub fn book() -> Deployment {
+pub fn deployment() -> Deployment {
     let text = r#"
 ladder(rates = [120, 405, 744, 1365], utility = [0.2, 0.6, 0.8, 1.0], switch_cost = 0.5)
 group("any", utility = 2, start_target = 1.5)
@@ -31,7 +32,7 @@
     Deployment::parse("test", text).expect("good settings")
 }
 
-pub fn listed(id: u32, phase: Phase) -> RosterNode {
+pub fn roster_node(id: u32, phase: Phase) -> RosterNode {
     RosterNode {
         id,
         address: ([127, 0, 0, 1], 7000 + id as u16).into(),
@@ -48,48 +49,48 @@
     let titles = (0..6).map(|k| RosterTitle { name: format!("t{k}"), first_cell: k, cells: 3 });
     RosterMessage::Whole {
         version: 1,
-        nodes: (0..6).map(|id| listed(id, Phase::Ready)).collect(),
+        nodes: (0..6).map(|id| roster_node(id, Phase::Ready)).collect(),
         titles: titles.collect(),
     }
 }
 
-pub struct Bench {
-    pub desk: DirectorCore,
+pub struct Harness {
+    pub core: DirectorCore,
     pub now: f64,
     pub version: u64,
 }
 
-impl Bench {
-    pub fn new(book: &Deployment, seed: u64) -> Self {
-        Bench { desk: DirectorCore::new(book, seed, START), now: START, version: 1 }
+impl Harness {
+    pub fn new(deployment: &Deployment, seed: u64) -> Self {
+        Harness { core: DirectorCore::new(deployment, seed, START), now: START, version: 1 }
     }
 
     pub fn round(&mut self) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.desk.round(self.now, &mut |e| effects.push(e));
+        self.core.round(self.now, &mut |e| effects.push(e));
         effects
     }
 
     pub fn input(&mut self, input: Input) -> Vec<Effect> {
-        self.desk.handle_input(self.now, input);
+        self.core.handle_input(self.now, input);
         self.round()
     }
 
-    /// The next round that the desk asks for, if it is due before `end`.
-    pub fn wake_before(&mut self, end: f64) -> Option<Vec<Effect>> {
-        let at = self.desk.next_timer_at().max(self.now);
-        if at >= end {
+    /// Advances to the next timer of the core and runs its round, if it is due before `end`.
+    pub fn run_next_timer(&mut self, end: f64) -> Option<Vec<Effect>> {
+        let next = self.core.next_timer_at().max(self.now);
+        if next >= end {
             return None;
         }
-        self.now = at;
+        self.now = next;
         Some(self.round())
     }
 
-    /// Lets time pass; all effects of it.
+    /// Advances the time and returns the effects of all rounds on the way.
     pub fn wait(&mut self, seconds: f64) -> Vec<Effect> {
         let end = self.now + seconds;
         let mut all = Vec::new();
-        while let Some(effects) = self.wake_before(end) {
+        while let Some(effects) = self.run_next_timer(end) {
             all.extend(effects);
         }
         self.now = end;
@@ -98,16 +99,20 @@
 
     pub fn change(&mut self, node: u32, phase: Phase) -> RosterMessage {
         self.version += 1;
-        RosterMessage::Change { version: self.version, nodes: vec![listed(node, phase)], titles: Vec::new() }
+        RosterMessage::Change {
+            version: self.version,
+            nodes: vec![roster_node(node, phase)],
+            titles: Vec::new(),
+        }
     }
 
-    /// Connects all that is dialled.
+    /// Completes every connection attempt among the effects.
     pub fn connect(&mut self, effects: &[Effect]) -> Vec<(u32, u64)> {
         let mut up = Vec::new();
         for effect in effects {
             if let Effect::Dial { node, link, .. } = effect {
                 up.push((*node, *link));
-                self.desk.handle_input(
+                self.core.handle_input(
                     self.now,
                     Input::Node { node: *node, link: *link, event: NodeEvent::Connected },
                 );
@@ -121,7 +126,7 @@
         self.input(Input::Player { sock, message: start(key, group, title) })
     }
 
-    pub fn says(&mut self, node: u32, link: u64, message: impl Into<Message>) -> Vec<Effect> {
+    pub fn receive_from_node(&mut self, node: u32, link: u64, message: impl Into<Message>) -> Vec<Effect> {
         self.input(Input::Node { node, link, event: NodeEvent::Received(message.into()) })
     }
 }
@@ -137,7 +142,7 @@
     }
 }
 
-/// Requests to nodes among effects.
+/// Returns the requests to nodes among the effects: node, number of the connection and request.
 pub fn requests(effects: &[Effect]) -> Vec<(u32, u64, Request)> {
     let mut all = Vec::new();
     for effect in effects {
@@ -155,21 +160,22 @@
     all
 }
 
-/// Messages to players among effects, as they go on the wire.
-pub fn told(effects: &[Effect]) -> Vec<String> {
-    let of = |e: &Effect| match e {
+/// Returns the messages to players among the effects as they are on the wire.
+pub fn player_messages(effects: &[Effect]) -> Vec<String> {
+    let select = |e: &Effect| match e {
         Effect::Player { sock, message, .. } => Some(format!("{sock} < {}", message.text())),
         _ => None,
     };
-    effects.iter().filter_map(of).collect()
+    effects.iter().filter_map(select).collect()
 }
 
-pub fn finals(effects: &[Effect]) -> Vec<ToPlayer> {
-    let of = |e: &Effect| match e {
+/// Returns the final answers to players among the effects.
+pub fn final_answers(effects: &[Effect]) -> Vec<ToPlayer> {
+    let select = |e: &Effect| match e {
         Effect::Player { message, .. } if message.is_final() => Some(message.clone()),
         _ => None,
     };
-    effects.iter().filter_map(of).collect()
+    effects.iter().filter_map(select).collect()
 }
 
 pub fn ok(r: &Request) -> Response {
--- a/crates/kelpdoor-director/tests/story.rs
+++ b/crates/kelpdoor-director/tests/story.rs
@@ -1,41 +1,41 @@
-//! Single stories of the desk, as short traces read by people.
+//! Traces of single scenarios in the core.
 
 mod common;
 
-use common::{Bench, book, finals, listed, ok, requests, roster, told};
+use common::{Harness, deployment, final_answers, ok, player_messages, requests, roster, roster_node};
 use expect_test::{Expect, expect};
 use kelpdoor_api::{FromPlayer, RequestKey, ToPlayer};
 use kelpdoor_director::{DirectorCore, Effect, Input, NodeEvent, Phase, RosterList, RosterMessage, journal};
 use kelpdoor_rtsp::{Method, Request, Response, header_names, notify_reasons};
 
-/// What goes to nodes and players, a line each.
+/// Compares the requests to nodes and the messages to players, one line each, with the expected trace.
 fn trace(effects: &[Effect], expected: Expect) {
     let mut lines = Vec::new();
     for (node, _, r) in requests(effects) {
-        let of = |name| r.headers.get(name).map(|v| format!(" {name}={v}")).unwrap_or_default();
+        let select = |name| r.headers.get(name).map(|v| format!(" {name}={v}")).unwrap_or_default();
         let names = [
             header_names::SESSION,
             header_names::RUNG,
             header_names::SERVICE_GROUP,
             header_names::REQUEST_KEY,
         ];
-        lines.push(format!("node {node}: {}{}", r.method.name(), names.map(of).concat()));
+        lines.push(format!("node {node}: {}{}", r.method.name(), names.map(select).concat()));
     }
-    lines.extend(told(effects));
+    lines.extend(player_messages(effects));
     expected.assert_eq(&lines.join("\n"));
 }
 
-/// A desk whose links to all nodes are up.
-fn up(seed: u64) -> Bench {
-    let mut bench = Bench::new(&book(), seed);
-    let effects = bench.input(Input::Roster(roster()));
-    bench.connect(&effects);
-    bench.wait(6.0);
-    bench
+/// Returns a core that is connected to all nodes.
+fn connected_harness(seed: u64) -> Harness {
+    let mut harness = Harness::new(&deployment(), seed);
+    let effects = harness.input(Input::Roster(roster()));
+    harness.connect(&effects);
+    harness.wait(6.0);
+    harness
 }
 
-/// The SETUP and PLAY that a start brings, and where.
-fn asked(effects: &[Effect]) -> (u32, u64, Request, Request) {
+/// Returns the SETUP and PLAY of a start with their node and connection.
+fn expect_setup(effects: &[Effect]) -> (u32, u64, Request, Request) {
     let mut all = requests(effects).into_iter().filter(|r| r.2.method != Method::Options);
     let (node, link, setup) = all.next().expect("a SETUP");
     let (_, _, play) = all.next().expect("a PLAY");
@@ -43,11 +43,11 @@
     (node, link, setup, play)
 }
 
-fn answer(
-    bench: &mut Bench, (node, link, setup, play): (u32, u64, Request, Request), id: &str,
+fn answer_setup(
+    harness: &mut Harness, (node, link, setup, play): (u32, u64, Request, Request), id: &str,
 ) -> Vec<Effect> {
-    let mut effects = bench.says(node, link, ok(&setup).with(header_names::SESSION, id));
-    effects.extend(bench.says(
+    let mut effects = harness.receive_from_node(node, link, ok(&setup).with(header_names::SESSION, id));
+    effects.extend(harness.receive_from_node(
         node,
         link,
         ok(&play).with(header_names::SESSION, id).with(header_names::ASKED, "link=0.4"),
@@ -56,25 +56,25 @@
 }
 
 #[test]
-fn a_session_from_start_to_stop() {
-    let mut bench = up(1);
-    let effects = bench.start(1, "key-00001", "any", "t0");
+fn started_session_plays_until_stopped() {
+    let mut harness = connected_harness(1);
+    let effects = harness.start(1, "key-00001", "any", "t0");
     trace(
         &effects,
         expect![[r#"
         node 0: SETUP Rung=1 Service-Group=any Request-Key=key-00001
         node 0: PLAY"#]],
     );
-    let out = asked(&effects);
+    let out = expect_setup(&effects);
     let (node, link) = (out.0, out.1);
     trace(
-        &answer(&mut bench, out, "s1"),
+        &answer_setup(&mut harness, out, "s1"),
         expect![[
             r#"1 < {"key":"key-00001","resume_for":5.0,"rung":1,"type":"playing","uri":"rtsp://127.0.0.1:7000/t0"}"#
         ]],
     );
     let stop = FromPlayer::Stop { key: RequestKey("key-00001".into()) };
-    let effects = bench.input(Input::Player { sock: 1, message: stop });
+    let effects = harness.input(Input::Player { sock: 1, message: stop });
     trace(
         &effects,
         expect![[r#"
@@ -82,32 +82,32 @@
         1 < {"key":"key-00001","type":"ended","why":"stopped"}"#]],
     );
     let teardown = requests(&effects).remove(0).2;
-    bench.says(node, link, ok(&teardown));
-    assert_eq!(bench.desk.counts().playing, 0);
+    harness.receive_from_node(node, link, ok(&teardown));
+    assert_eq!(harness.core.counts().playing, 0);
 }
 
 #[test]
-fn a_retry_while_the_setup_is_out_and_after_it_gets_the_same_answer() {
-    let mut bench = up(1);
-    let effects = bench.start(1, "key-00001", "any", "t0");
-    let out = asked(&effects);
-    trace(&bench.start(1, "key-00001", "any", "t0"), expect![[r#""#]]);
-    // On a second socket: the answer goes there.
-    trace(&bench.start(2, "key-00001", "any", "t0"), expect![[r#""#]]);
+fn retry_during_and_after_setup_gets_same_answer() {
+    let mut harness = connected_harness(1);
+    let effects = harness.start(1, "key-00001", "any", "t0");
+    let out = expect_setup(&effects);
+    trace(&harness.start(1, "key-00001", "any", "t0"), expect![[r#""#]]);
+    // After a retry on a second socket the answer goes there.
+    trace(&harness.start(2, "key-00001", "any", "t0"), expect![[r#""#]]);
     trace(
-        &answer(&mut bench, out, "s1"),
+        &answer_setup(&mut harness, out, "s1"),
         expect![[
             r#"2 < {"key":"key-00001","resume_for":5.0,"rung":1,"type":"playing","uri":"rtsp://127.0.0.1:7000/t0"}"#
         ]],
     );
     trace(
-        &bench.start(3, "key-00001", "any", "t0"),
+        &harness.start(3, "key-00001", "any", "t0"),
         expect![[
             r#"3 < {"key":"key-00001","resume_for":5.0,"rung":1,"type":"playing","uri":"rtsp://127.0.0.1:7000/t0"}"#
         ]],
     );
     trace(
-        &bench.start(3, "key-00001", "any", "t1"),
+        &harness.start(3, "key-00001", "any", "t1"),
         expect![[
             r#"3 < {"code":"key_conflict","key":"key-00001","message":"the key stands for another request","type":"error"}"#
         ]],
@@ -115,11 +115,11 @@
 }
 
 #[test]
-fn a_setup_without_an_answer_is_taken_back_and_its_late_success_plays_nowhere() {
-    let mut bench = up(1);
-    let effects = bench.start(1, "key-00001", "any", "t0");
-    let (node, link, setup, play) = asked(&effects);
-    let effects = bench.wait(1.0);
+fn unanswered_setup_is_torn_down_and_late_success_does_not_play() {
+    let mut harness = connected_harness(1);
+    let effects = harness.start(1, "key-00001", "any", "t0");
+    let (node, link, setup, play) = expect_setup(&effects);
+    let effects = harness.wait(1.0);
     trace(
         &effects,
         expect![[r#"
@@ -130,26 +130,26 @@
     let second = requests(&effects).into_iter().filter(|r| r.2.method != Method::Teardown);
     let (other, _, _) = second.clone().next().expect("a second SETUP");
     assert_ne!(node, other);
-    // The first node answers after all, to SETUP and PLAY.
-    let late = answer(&mut bench, (node, link, setup, play), "s1");
+    // The first node answers SETUP and PLAY late.
+    let late = answer_setup(&mut harness, (node, link, setup, play), "s1");
     trace(&late, expect!["node 0: TEARDOWN Session=s1"]);
-    assert!(finals(&late).is_empty() && bench.desk.counts().playing == 0);
+    assert!(final_answers(&late).is_empty() && harness.core.counts().playing == 0);
 }
 
 #[test]
-fn a_paid_session_is_not_sent_again_without_proof() {
-    let mut bench = up(1);
-    let effects = bench.start(1, "key-00001", "paid", "t0");
-    let (node, link, ..) = asked(&effects);
+fn paid_session_without_proof_of_failure_is_not_retried() {
+    let mut harness = connected_harness(1);
+    let effects = harness.start(1, "key-00001", "paid", "t0");
+    let (node, link, ..) = expect_setup(&effects);
     trace(
-        &bench.input(Input::Node { node, link, event: NodeEvent::ConnectionLost }),
+        &harness.input(Input::Node { node, link, event: NodeEvent::ConnectionLost }),
         expect![[r#"1 < {"key":"key-00001","type":"failed","why":"no_answer"}"#]],
     );
-    // Turned away without a look is proof.
-    let effects = bench.start(1, "key-00002", "paid", "t0");
-    let (node, link, setup, _) = asked(&effects);
+    // A refusal before the SETUP started proves that it did not run.
+    let effects = harness.start(1, "key-00002", "paid", "t0");
+    let (node, link, setup, _) = expect_setup(&effects);
     trace(
-        &bench.says(node, link, Response::new(453, setup.cseq)),
+        &harness.receive_from_node(node, link, Response::new(453, setup.cseq)),
         expect![[r#"
         node 1: SETUP Rung=1 Service-Group=paid Request-Key=key-00002
         node 1: PLAY"#]],
@@ -157,60 +157,60 @@
 }
 
 #[test]
-fn what_has_not_gone_out_to_a_draining_node_does_not_go_out_any_more() {
-    let mut bench = Bench::new(&book(), 1);
+fn waiting_setup_for_draining_node_is_not_sent() {
+    let mut harness = Harness::new(&deployment(), 1);
     let one = RosterMessage::Whole {
         version: 1,
-        nodes: vec![listed(0, Phase::Ready)],
+        nodes: vec![roster_node(0, Phase::Ready)],
         titles: vec![kelpdoor_director::RosterTitle { name: "t0".into(), first_cell: 0, cells: 1 }],
     };
-    let dials = bench.input(Input::Roster(one));
-    bench.wait(0.1);
-    // The link is still being connected when the request comes, and then the node drains.
-    let effects = bench.start(1, "key-00001", "paid", "t0");
+    let dials = harness.input(Input::Roster(one));
+    harness.wait(0.1);
+    // The request arrives while the link is connecting; then the node starts to drain.
+    let effects = harness.start(1, "key-00001", "paid", "t0");
     assert!(requests(&effects).is_empty());
-    let change = bench.change(0, Phase::Draining);
+    let change = harness.change(0, Phase::Draining);
     trace(
-        &bench.input(Input::Roster(change)),
+        &harness.input(Input::Roster(change)),
         expect![[r#"1 < {"come_back":2.0,"key":"key-00001","type":"busy"}"#]],
     );
-    bench.connect(&dials);
-    assert!(bench.wait(1.0).iter().all(|e| requests(std::slice::from_ref(e)).is_empty()));
+    harness.connect(&dials);
+    assert!(harness.wait(1.0).iter().all(|e| requests(std::slice::from_ref(e)).is_empty()));
 }
 
 #[test]
-fn a_node_that_dies_ends_what_it_held_in_one_pass() {
-    let mut bench = up(1);
+fn dead_node_ends_its_sessions_in_one_round() {
+    let mut harness = connected_harness(1);
     let mut at = Vec::new();
     for k in 0..6 {
-        let effects = bench.start(k, &format!("key-0000{k}"), "any", "t0");
-        let out = asked(&effects);
+        let effects = harness.start(k, &format!("key-0000{k}"), "any", "t0");
+        let out = expect_setup(&effects);
         at.push((out.0, out.1));
-        answer(&mut bench, out, &format!("s{k}"));
+        answer_setup(&mut harness, out, &format!("s{k}"));
     }
     let (node, link) = at[0];
     let here = at.iter().filter(|a| **a == (node, link)).count();
-    let effects = bench.input(Input::Node { node, link, event: NodeEvent::ConnectionLost });
-    let ended = told(&effects).iter().filter(|l| l.contains("node_lost")).count();
-    assert_eq!((ended, bench.desk.counts().playing), (here, 6 - here));
+    let effects = harness.input(Input::Node { node, link, event: NodeEvent::ConnectionLost });
+    let ended = player_messages(&effects).iter().filter(|l| l.contains("node_lost")).count();
+    assert_eq!((ended, harness.core.counts().playing), (here, 6 - here));
 }
 
 #[test]
-fn notices_of_a_stream_end_and_of_nothing_known() {
-    let mut bench = up(1);
-    let effects = bench.start(1, "key-00001", "any", "t0");
-    let out = asked(&effects);
+fn end_of_stream_ends_session_and_unknown_session_gets_454() {
+    let mut harness = connected_harness(1);
+    let effects = harness.start(1, "key-00001", "any", "t0");
+    let out = expect_setup(&effects);
     let (node, link) = (out.0, out.1);
-    answer(&mut bench, out, "s1");
+    answer_setup(&mut harness, out, "s1");
     let notice = |id: &str| {
         Request::new(Method::PlayNotify, "rtsp://n/", 9)
             .with(header_names::SESSION, id)
             .with(header_names::NOTIFY_REASON, notify_reasons::END_OF_STREAM)
     };
-    let strange = bench.says(node, link, notice("s77"));
+    let strange = harness.receive_from_node(node, link, notice("s77"));
     assert!(matches!(&strange[..], [Effect::Node { bytes, .. }] if bytes.starts_with(b"RTSP/2.0 454")));
     trace(
-        &bench.says(node, link, notice("s1")),
+        &harness.receive_from_node(node, link, notice("s1")),
         expect![[r#"
         node 0: TEARDOWN Session=s1
         1 < {"key":"key-00001","type":"ended","why":"finished"}"#]],
@@ -218,137 +218,137 @@
 }
 
 #[test]
-fn a_silent_link_is_asked_then_closed_but_our_own_pause_is_not_its_silence() {
-    let mut bench = up(1);
-    let effects = bench.start(1, "key-00001", "any", "t0");
-    let out = asked(&effects);
+fn silent_link_is_probed_then_closed_but_own_pause_is_not_counted() {
+    let mut harness = connected_harness(1);
+    let effects = harness.start(1, "key-00001", "any", "t0");
+    let out = expect_setup(&effects);
     let node = out.0;
-    answer(&mut bench, out, "s1");
-    // The process stands still for 20 s: no link dies for it.
-    bench.now += 20.0;
-    let effects = bench.round();
+    answer_setup(&mut harness, out, "s1");
+    // The process pauses for 20 s: that closes no link.
+    harness.now += 20.0;
+    let effects = harness.round();
     assert!(!effects.iter().any(|e| matches!(e, Effect::Disconnect { .. })), "{effects:?}");
-    // Then the node says nothing more.
-    let effects = bench.wait(14.0);
+    // Then the node is silent.
+    let effects = harness.wait(14.0);
     let probes =
         requests(&effects).iter().filter(|r| r.0 == node && r.2.method == Method::GetParameter).count();
     assert!(probes >= 1);
     assert!(effects.iter().any(|e| matches!(e, Effect::Disconnect { node: n, .. } if *n == node)));
-    assert!(told(&effects).iter().any(|l| l.contains("node_lost")));
+    assert!(player_messages(&effects).iter().any(|l| l.contains("node_lost")));
 }
 
 #[test]
-fn an_answer_that_lay_there_while_we_stood_still_is_too_late() {
-    let mut bench = up(1);
-    let effects = bench.start(1, "key-00001", "any", "t0");
-    let (node, link, setup, play) = asked(&effects);
-    bench.now += 5.0;
-    // All that came is taken in before time-outs fire.
-    let said = |r: Response| Input::Node { node, link, event: NodeEvent::Received(r.into()) };
-    bench.desk.handle_input(bench.now, said(ok(&setup).with(header_names::SESSION, "s1")));
-    bench.desk.handle_input(bench.now, said(ok(&play).with(header_names::SESSION, "s1")));
-    let effects = bench.round();
-    assert!(finals(&effects).iter().all(|f| !matches!(f, ToPlayer::Playing { .. })), "{effects:?}");
-    assert_eq!((finals(&effects).len(), bench.desk.counts().playing), (1, 0));
+fn response_delayed_by_own_pause_is_too_late() {
+    let mut harness = connected_harness(1);
+    let effects = harness.start(1, "key-00001", "any", "t0");
+    let (node, link, setup, play) = expect_setup(&effects);
+    harness.now += 5.0;
+    // Inputs are handled before timers.
+    let received = |r: Response| Input::Node { node, link, event: NodeEvent::Received(r.into()) };
+    harness.core.handle_input(harness.now, received(ok(&setup).with(header_names::SESSION, "s1")));
+    harness.core.handle_input(harness.now, received(ok(&play).with(header_names::SESSION, "s1")));
+    let effects = harness.round();
+    assert!(final_answers(&effects).iter().all(|f| !matches!(f, ToPlayer::Playing { .. })), "{effects:?}");
+    assert_eq!((final_answers(&effects).len(), harness.core.counts().playing), (1, 0));
 }
 
 #[test]
-fn the_sessions_limit_is_answered_with_busy() {
-    let mut few = book();
-    few.players.sessions = 2;
-    let mut bench = Bench::new(&few, 1);
-    let effects = bench.input(Input::Roster(roster()));
-    bench.connect(&effects);
+fn request_over_session_limit_is_answered_busy() {
+    let mut settings = deployment();
+    settings.players.sessions = 2;
+    let mut harness = Harness::new(&settings, 1);
+    let effects = harness.input(Input::Roster(roster()));
+    harness.connect(&effects);
     for k in 0..2 {
-        bench.start(1, &format!("key-0000{k}"), "any", "t0");
+        harness.start(1, &format!("key-0000{k}"), "any", "t0");
     }
     trace(
-        &bench.start(1, "key-00009", "any", "t0"),
+        &harness.start(1, "key-00009", "any", "t0"),
         expect![[r#"1 < {"come_back":2.0,"key":"key-00009","type":"busy"}"#]],
     );
 }
 
 #[test]
-fn a_bad_list_is_refused_whole_and_a_good_one_is_kept() {
-    let mut bench = up(1);
-    let mut node = listed(3, Phase::Ready);
+fn invalid_list_is_refused_and_last_valid_one_kept() {
+    let mut harness = connected_harness(1);
+    let mut node = roster_node(3, Phase::Ready);
     node.zone = "north".into();
     let bad = RosterMessage::Whole { version: 9, nodes: vec![node], titles: Vec::new() };
-    let effects = bench.input(Input::Roster(bad));
+    let effects = harness.input(Input::Roster(bad));
     expect![[r#"[Log { sess: None, text: "roster: node 3: zone \"north\" is not in the settings; keeping the last valid list" }]"#]].assert_eq(&format!("{effects:?}"));
-    assert!(bench.start(1, "key-00001", "any", "t0").iter().any(|e| matches!(e, Effect::Node { .. })));
+    assert!(harness.start(1, "key-00001", "any", "t0").iter().any(|e| matches!(e, Effect::Node { .. })));
 }
 
 #[test]
-fn a_director_starts_from_its_kept_list() {
+fn cached_list_is_used_at_start() {
     let mut list = RosterList::default();
-    list.apply(&roster(), &book().fleet).expect("good");
-    let mut bench = Bench::new(&book(), 1);
-    let effects = bench.input(Input::Cached(list));
-    bench.connect(&effects);
-    let effects = bench.start(1, "key-00001", "any", "t0");
-    assert_eq!(asked(&effects).2.method, Method::Setup);
+    list.apply(&roster(), &deployment().fleet).expect("good");
+    let mut harness = Harness::new(&deployment(), 1);
+    let effects = harness.input(Input::Cached(list));
+    harness.connect(&effects);
+    let effects = harness.start(1, "key-00001", "any", "t0");
+    assert_eq!(expect_setup(&effects).2.method, Method::Setup);
 }
 
 #[test]
-fn two_desks_share_nothing() {
-    // The same story alone, and with another desk at work between each two of its steps.
-    let tell = |mut between: Box<dyn FnMut()>| {
-        let mut bench = up(5);
+fn two_cores_share_no_state() {
+    // The same scenario alone, and with another core running between its steps.
+    let run = |mut between: Box<dyn FnMut()>| {
+        let mut harness = connected_harness(5);
         let mut all = Vec::new();
         for k in 0..6 {
             between();
-            all.extend(bench.start(k, &format!("key-0000{k}"), "any", "t0"));
-            all.extend(bench.wait(0.3));
+            all.extend(harness.start(k, &format!("key-0000{k}"), "any", "t0"));
+            all.extend(harness.wait(0.3));
         }
         all
     };
-    let alone = tell(Box::new(|| ()));
-    let mut other = up(6);
+    let alone = run(Box::new(|| ()));
+    let mut other = connected_harness(6);
     let mut n = 0;
-    let beside = tell(Box::new(move || {
+    let interleaved = run(Box::new(move || {
         n += 1;
         other.start(n, &format!("key-1000{n}"), "any", "t0");
         other.wait(0.2);
     }));
     assert!(requests(&alone).len() >= 12);
-    assert_eq!(alone, beside);
+    assert_eq!(alone, interleaved);
 }
 
 #[test]
-fn a_journal_replays_to_the_same_effects_and_shows_a_difference() {
+fn journal_replay_matches_and_changed_journal_shows_difference() {
     let (seed, now) = (7, common::START);
-    let mut desk = DirectorCore::new(&book(), seed, now);
-    let mut lines = vec![journal::JournalEntry::Start { seed, now, deployment: None }];
+    let mut core = DirectorCore::new(&deployment(), seed, now);
+    let mut entries = vec![journal::JournalEntry::Start { seed, now, deployment: None }];
     let message = common::start("key-00001", "any", "t0");
     let inputs = [Input::Roster(roster()), Input::Player { sock: 1, message }, Input::ShutDown];
     for (k, input) in inputs.into_iter().enumerate() {
         let now = now + 0.37 * k as f64;
-        lines.push(journal::JournalEntry::Input { now, delay: 0.0, input: input.clone() });
-        desk.handle_input(now, input);
+        entries.push(journal::JournalEntry::Input { now, delay: 0.0, input: input.clone() });
+        core.handle_input(now, input);
         let mut effects = Vec::new();
-        desk.round(now, &mut |e| effects.push(e));
-        lines.push(journal::JournalEntry::Round { now, effects });
+        core.round(now, &mut |e| effects.push(e));
+        entries.push(journal::JournalEntry::Round { now, effects });
     }
-    let text = |lines: &[journal::JournalEntry]| {
+    let text = |entries: &[journal::JournalEntry]| {
         let mut out = Vec::new();
-        lines.iter().for_each(|l| journal::write_entry(&mut out, l).expect("written"));
+        entries.iter().for_each(|l| journal::write_entry(&mut out, l).expect("written"));
         out
     };
-    let done = journal::replay(&text(&lines)[..], Some(&book())).expect("readable");
+    let done = journal::replay(&text(&entries)[..], Some(&deployment())).expect("readable");
     assert_eq!((done.inputs, done.rounds, done.first_difference), (3, 3, None));
-    lines.remove(3);
-    let done = journal::replay(&text(&lines)[..], Some(&book())).expect("readable");
+    entries.remove(3);
+    let done = journal::replay(&text(&entries)[..], Some(&deployment())).expect("readable");
     assert!(done.first_difference.is_some());
 }
 
 #[test]
-fn a_play_that_is_turned_away_before_setup_is_answered_proves_nothing() {
-    let mut bench = up(1);
-    let effects = bench.start(1, "key-00001", "paid", "t0");
-    let (node, link, _, play) = asked(&effects);
+fn play_refused_before_setup_response_does_not_prove_failure() {
+    let mut harness = connected_harness(1);
+    let effects = harness.start(1, "key-00001", "paid", "t0");
+    let (node, link, _, play) = expect_setup(&effects);
     trace(
-        &bench.says(node, link, Response::new(453, play.cseq)),
+        &harness.receive_from_node(node, link, Response::new(453, play.cseq)),
         expect![[r#"
         node 0: TEARDOWN
         1 < {"key":"key-00001","type":"failed","why":"no_answer"}"#]],
@@ -356,12 +356,12 @@
 }
 
 #[test]
-fn a_setup_that_erred_or_names_no_session_is_taken_back_before_another_goes_out() {
+fn failed_setup_or_one_without_session_id_is_torn_down_before_next() {
     for answer in [500, 200] {
-        let mut bench = up(1);
-        let effects = bench.start(1, "key-00001", "any", "t0");
-        let (node, link, setup, _) = asked(&effects);
-        let after = requests(&bench.says(node, link, Response::new(answer, setup.cseq)));
+        let mut harness = connected_harness(1);
+        let effects = harness.start(1, "key-00001", "any", "t0");
+        let (node, link, setup, _) = expect_setup(&effects);
+        let after = requests(&harness.receive_from_node(node, link, Response::new(answer, setup.cseq)));
         let methods: Vec<_> = after.iter().map(|(_, _, r)| r.method).collect();
         assert_eq!(methods, [Method::Teardown, Method::Setup, Method::Play], "{answer}");
         assert_eq!(after[0].0, node);
@@ -369,13 +369,13 @@
 }
 
 #[test]
-fn a_rung_that_the_node_refuses_is_not_in_force() {
-    let mut bench = up(1);
-    let effects = bench.start(1, "key-00001", "any", "t0");
-    let (node, link, setup, play) = asked(&effects);
-    bench.says(node, link, ok(&setup).with(header_names::SESSION, "s1"));
-    bench.says(node, link, ok(&play).with(header_names::ASKED, "link=0.21"));
-    let effects = bench.wait(2.0);
+fn rung_refused_by_node_is_reverted() {
+    let mut harness = connected_harness(1);
+    let effects = harness.start(1, "key-00001", "any", "t0");
+    let (node, link, setup, play) = expect_setup(&effects);
+    harness.receive_from_node(node, link, ok(&setup).with(header_names::SESSION, "s1"));
+    harness.receive_from_node(node, link, ok(&play).with(header_names::ASKED, "link=0.21"));
+    let effects = harness.wait(2.0);
     let change =
         requests(&effects).into_iter().find(|r| r.2.method == Method::SetParameter).expect("a rise").2;
     trace(
@@ -385,120 +385,122 @@
         1 < {"key":"key-00001","rung":2,"type":"rung"}"#]],
     );
     trace(
-        &bench.says(node, link, Response::new(451, change.cseq)),
+        &harness.receive_from_node(node, link, Response::new(451, change.cseq)),
         expect![[r#"1 < {"key":"key-00001","rung":1,"type":"rung"}"#]],
     );
 }
 
 #[test]
-fn what_lay_in_line_is_late_by_as_much() {
-    let mut bench = up(1);
+fn time_in_queue_counts_against_setup_timeout() {
+    let mut harness = connected_harness(1);
     let player = |key: &str| Input::Player { sock: 1, message: common::start(key, "any", "t0") };
-    bench.desk.handle_delayed_input(bench.now, 2.5, player("key-00001"));
-    bench.round();
-    // 3 s less the 2.5 that it lay there, less the way back.
-    let effects = bench.wait(0.45);
-    assert_eq!(finals(&effects).len(), 1, "{effects:?}");
-    bench.desk.handle_delayed_input(bench.now, 3.5, player("key-00002"));
-    trace(&bench.round(), expect![[r#"1 < {"come_back":2.0,"key":"key-00002","type":"busy"}"#]]);
+    harness.core.handle_delayed_input(harness.now, 2.5, player("key-00001"));
+    harness.round();
+    // The setup timeout of 3 s, less 2.5 s in the queue, less the time reserved for the answer.
+    let effects = harness.wait(0.45);
+    assert_eq!(final_answers(&effects).len(), 1, "{effects:?}");
+    harness.core.handle_delayed_input(harness.now, 3.5, player("key-00002"));
+    trace(&harness.round(), expect![[r#"1 < {"come_back":2.0,"key":"key-00002","type":"busy"}"#]]);
 }
 
 #[test]
-fn an_answer_given_for_want_of_room_is_kept_for_a_retry() {
-    let mut few = book();
-    few.players.sessions = 1;
-    let mut bench = Bench::new(&few, 1);
-    let effects = bench.input(Input::Roster(roster()));
-    bench.connect(&effects);
-    let out = asked(&bench.start(1, "key-00001", "any", "t0"));
-    bench.start(1, "key-00002", "any", "t0");
-    bench.input(Input::Player { sock: 1, message: FromPlayer::Stop { key: RequestKey("key-00001".into()) } });
-    let teardown = bench.wait(0.1);
+fn busy_answer_at_session_limit_is_repeated_to_retry() {
+    let mut settings = deployment();
+    settings.players.sessions = 1;
+    let mut harness = Harness::new(&settings, 1);
+    let effects = harness.input(Input::Roster(roster()));
+    harness.connect(&effects);
+    let out = expect_setup(&harness.start(1, "key-00001", "any", "t0"));
+    harness.start(1, "key-00002", "any", "t0");
+    harness
+        .input(Input::Player { sock: 1, message: FromPlayer::Stop { key: RequestKey("key-00001".into()) } });
+    let teardown = harness.wait(0.1);
     drop((out, teardown));
-    // There is room now, but the key has its answer.
+    // There is room now, but the answer for this key is stored.
     trace(
-        &bench.start(1, "key-00002", "any", "t0"),
+        &harness.start(1, "key-00002", "any", "t0"),
         expect![[r#"1 < {"come_back":2.0,"key":"key-00002","type":"busy"}"#]],
     );
 }
 
 #[test]
-fn a_change_that_is_refused_has_the_whole_list_asked_for() {
-    let mut bench = up(1);
+fn refused_change_requests_complete_list() {
+    let mut harness = connected_harness(1);
     let stale = RosterMessage::Change { version: 1, nodes: Vec::new(), titles: Vec::new() };
-    let effects = bench.input(Input::Roster(stale));
+    let effects = harness.input(Input::Roster(stale));
     assert!(effects.contains(&Effect::RequestRoster(kelpdoor_director::RosterRequest::Whole)), "{effects:?}");
 }
 
 #[test]
-fn without_a_lease_nothing_is_begun_and_each_is_answered_at_once() {
-    let mut bench = Bench::new(&book(), 3);
-    let effects = bench.input(Input::Roster(roster()));
-    // Nodes 0 to 2, which have title t0, are connected; 3 to 5 are still dialled.
+fn request_without_lease_is_answered_busy_and_sends_no_setup() {
+    let mut harness = Harness::new(&deployment(), 3);
+    let effects = harness.input(Input::Roster(roster()));
+    // Nodes 0 to 2, which hold title t0, are connected; 3 to 5 are still connecting.
     let dial = |e: &Effect| if let Effect::Dial { node, link, .. } = e { Some((*node, *link)) } else { None };
     let (near, far): (Vec<_>, Vec<_>) = effects.iter().filter_map(dial).partition(|(node, _)| *node < 3);
     for (node, link) in near {
-        bench.input(Input::Node { node, link, event: NodeEvent::Connected });
+        harness.input(Input::Node { node, link, event: NodeEvent::Connected });
     }
-    bench.input(Input::Rules { deployment: Box::new(book()), label: "4/ab".into() });
-    let lease = |bench: &mut Bench, seconds: f64| {
-        let until = bench.now + seconds;
-        bench.input(Input::Lease { until })
+    harness.input(Input::Rules { deployment: Box::new(deployment()), label: "4/ab".into() });
+    let lease = |harness: &mut Harness, seconds: f64| {
+        let until = harness.now + seconds;
+        harness.input(Input::Lease { until })
     };
     let setups = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::Leased { .. })).count();
     let answers = |effects: &[Effect]| -> Vec<String> {
-        let of = |e: &Effect| match e {
+        let select = |e: &Effect| match e {
             Effect::Player { message, .. } if message.is_final() => Some(message.text()),
             _ => None,
         };
-        effects.iter().filter_map(of).collect()
+        effects.iter().filter_map(select).collect()
     };
-    lease(&mut bench, 0.1);
-    let effects = bench.start(1, "key-00001", "any", "t0");
+    lease(&mut harness, 0.1);
+    let effects = harness.start(1, "key-00001", "any", "t0");
     assert_eq!(setups(&effects), 1, "{effects:?}");
-    // Another waits for its node's connection, which is up after the lease: it does not go out.
-    bench.start(1, "key-00002", "any", "t3");
-    bench.wait(0.11);
-    let mut effects = bench.start(1, "key-00003", "any", "t0");
+    // Another SETUP waits for its connection, which is established after the lease expires: it is not sent.
+    harness.start(1, "key-00002", "any", "t3");
+    harness.wait(0.11);
+    let mut effects = harness.start(1, "key-00003", "any", "t0");
     for (node, link) in far {
-        effects.extend(bench.input(Input::Node { node, link, event: NodeEvent::Connected }));
+        effects.extend(harness.input(Input::Node { node, link, event: NodeEvent::Connected }));
     }
-    assert_eq!(setups(&effects), 0, "nothing leaves: {effects:?}");
+    assert_eq!(setups(&effects), 0, "nothing is sent: {effects:?}");
     let busy = |key: &str| format!(r#"{{"come_back":2.0,"key":"{key}","type":"busy"}}"#);
     assert_eq!(answers(&effects), [busy("key-00003"), busy("key-00002")]);
-    // One that an outbox gave back is answered as well, and its link does not wait for what never left.
-    lease(&mut bench, 1.0);
-    let effects = bench.start(1, "key-00004", "any", "t0");
+    // A SETUP that the shell did not send is answered as well, and its link expects no response to it.
+    lease(&mut harness, 1.0);
+    let effects = harness.start(1, "key-00004", "any", "t0");
     let sent = |effects: &[Effect]| match effects.iter().find(|e| matches!(e, Effect::Leased { .. })) {
-        Some(Effect::Leased { node, link, batch: pipe, .. }) => (*node, *link, *pipe),
-        _ => panic!("a SETUP goes out: {effects:?}"),
+        Some(Effect::Leased { node, link, batch, .. }) => (*node, *link, *batch),
+        _ => panic!("no SETUP was sent: {effects:?}"),
     };
-    let (node, link, pipe) = sent(&effects);
-    let out = bench.desk.counts().outstanding_requests;
-    let effects = bench.input(Input::Unsent { node, link, batch: pipe });
+    let (node, link, batch) = sent(&effects);
+    let out = harness.core.counts().outstanding_requests;
+    let effects = harness.input(Input::Unsent { node, link, batch });
     assert_eq!(answers(&effects), [busy("key-00004")]);
-    assert_eq!(bench.desk.counts().outstanding_requests, out - 2);
-    // Nor if its viewer has stopped it meanwhile, when its end alone is still waited for.
-    let out = bench.desk.counts().outstanding_requests;
-    let effects = bench.start(1, "key-00005", "any", "t0");
-    let (node, link, pipe) = sent(&effects);
-    bench.input(Input::Player { sock: 1, message: FromPlayer::Stop { key: RequestKey("key-00005".into()) } });
-    let effects = bench.input(Input::Unsent { node, link, batch: pipe });
+    assert_eq!(harness.core.counts().outstanding_requests, out - 2);
+    // The same holds if the viewer has stopped it meanwhile: only the TEARDOWN is outstanding.
+    let out = harness.core.counts().outstanding_requests;
+    let effects = harness.start(1, "key-00005", "any", "t0");
+    let (node, link, batch) = sent(&effects);
+    harness
+        .input(Input::Player { sock: 1, message: FromPlayer::Stop { key: RequestKey("key-00005".into()) } });
+    let effects = harness.input(Input::Unsent { node, link, batch });
     assert_eq!(answers(&effects), [""; 0]);
-    assert_eq!(bench.desk.counts().outstanding_requests, out + 1, "its TEARDOWN");
+    assert_eq!(harness.core.counts().outstanding_requests, out + 1, "its TEARDOWN");
 }
 
 #[test]
-fn a_change_of_rung_that_did_not_leave_in_time_is_not_in_force() {
-    let mut bench = up(1);
-    bench.input(Input::Rules { deployment: Box::new(book()), label: "4/ab".into() });
-    bench.input(Input::Lease { until: bench.now + 100.0 });
-    let effects = bench.start(1, "key-00001", "any", "t0");
-    let (node, link, setup, play) = asked(&effects);
-    bench.says(node, link, ok(&setup).with(header_names::SESSION, "s1"));
-    bench.says(node, link, ok(&play).with(header_names::ASKED, "link=0.21"));
-    let effects = bench.wait(2.0);
-    // It stands apart from what goes out anyway, so that the outbox can keep it back alone.
+fn unsent_change_of_rung_is_reverted() {
+    let mut harness = connected_harness(1);
+    harness.input(Input::Rules { deployment: Box::new(deployment()), label: "4/ab".into() });
+    harness.input(Input::Lease { until: harness.now + 100.0 });
+    let effects = harness.start(1, "key-00001", "any", "t0");
+    let (node, link, setup, play) = expect_setup(&effects);
+    harness.receive_from_node(node, link, ok(&setup).with(header_names::SESSION, "s1"));
+    harness.receive_from_node(node, link, ok(&play).with(header_names::ASKED, "link=0.21"));
+    let effects = harness.wait(2.0);
+    // The change is a separate effect, so that the shell can drop it alone.
     let leased: Vec<(u32, u64, u64)> = effects
         .iter()
         .filter_map(|e| match e {
@@ -509,13 +511,13 @@
             _ => None,
         })
         .collect();
-    let [(node, link, batch)] = leased[..] else { panic!("one rise: {effects:?}") };
-    let out = bench.desk.counts().outstanding_requests;
+    let [(node, link, batch)] = leased[..] else { panic!("expected one change of rung: {effects:?}") };
+    let out = harness.core.counts().outstanding_requests;
     trace(
-        &bench.input(Input::Unsent { node, link, batch }),
+        &harness.input(Input::Unsent { node, link, batch }),
         expect![[r#"1 < {"key":"key-00001","rung":1,"type":"rung"}"#]],
     );
-    assert_eq!(bench.desk.counts().outstanding_requests, out - 1, "nothing is waited for");
-    // Given back twice, or by an older link: nothing.
-    assert!(bench.input(Input::Unsent { node, link, batch }).is_empty());
+    assert_eq!(harness.core.counts().outstanding_requests, out - 1, "no response is outstanding");
+    // A second report for the same request has no effect.
+    assert!(harness.input(Input::Unsent { node, link, batch }).is_empty());
 }
