--- a/crates/kelpdoor-director/src/shell.rs
+++ b/crates/kelpdoor-director/src/shell.rs
@@ -1,4 +1,4 @@
-//! The I/O of a director: sockets, timers and files around a [`Desk`]. It makes no decisions: it timestamps inputs, calls
+//! The I/O of a director: sockets, timers and files around a [`DirectorCore`]. It makes no decisions: it timestamps inputs, calls
 //! the core once per batch, and carries out the effects that the core returns.
 
 use std::collections::HashMap;
@@ -30,12 +30,12 @@
 use tokio_tungstenite::tungstenite::{Error as WsError, error::CapacityError};
 
 use crate::agreed_rules::{RulesFollower, RulesInForce};
-use crate::desk::{Counts, Desk};
-use crate::effect::{Effect, Input, NodeWord};
-use crate::gate::{Gate, Pass};
+use crate::core::{Counts, DirectorCore};
+use crate::effect::{Effect, Input, NodeEvent};
 use crate::journal;
 use crate::keeper_client;
-use crate::roster::{FromRoster, MAX_LINE, RosterList, ToRoster};
+use crate::rate_limiter::{RateDecision, RateLimiter};
+use crate::roster::{MAX_LINE, RosterList, RosterMessage, RosterRequest};
 use crate::store::{load_list, save_list};
 use crate::token_verifier::TokenVerifier;
 
@@ -224,7 +224,7 @@
     deployment: Arc<Deployment>,
     clock: SlewedClock,
     inputs: mpsc::Sender<TimedInput>,
-    roster_requests: mpsc::UnboundedSender<ToRoster>,
+    roster_requests: mpsc::UnboundedSender<RosterRequest>,
     /// Queues to players' sockets, by socket.
     sockets: HashMap<u64, Outbox<Out>>,
     /// Queues to nodes, by node and connection.
@@ -252,24 +252,26 @@
         now
     }
 
-    fn write_journal(&mut self, entry: &journal::Line) {
+    fn write_journal(&mut self, entry: &journal::JournalEntry) {
         if let Some(to) = &mut self.journal
-            && let Err(e) = journal::write(to, entry)
+            && let Err(e) = journal::write_entry(to, entry)
         {
             tracing::error!(%e, "cannot write the journal; journaling stops");
             self.journal = None;
         }
     }
 
-    fn handle_input(&mut self, core: &mut Desk, now: f64, (received_at, input): TimedInput) {
+    fn handle_input(&mut self, core: &mut DirectorCore, now: f64, (received_at, input): TimedInput) {
         let waited = received_at.elapsed().as_secs_f64();
         if self.journal.is_some() {
-            self.write_journal(&journal::Line::Took { now, waited, input: input.clone() });
+            self.write_journal(&journal::JournalEntry::Input { now, delay: waited, input: input.clone() });
         }
-        if let Input::Node { node, link, word: NodeWord::Lost | NodeWord::Unreached } = &input {
+        if let Input::Node { node, link, event: NodeEvent::ConnectionLost | NodeEvent::ConnectFailed } =
+            &input
+        {
             self.links.remove(&(*node, *link));
         }
-        core.take_late(now, waited, input);
+        core.handle_delayed_input(now, waited, input);
     }
 
     async fn run(
@@ -277,9 +279,9 @@
         mut socket_queue: mpsc::UnboundedReceiver<SocketEvent>, seed: u64,
     ) {
         let now = self.now();
-        let mut core = Desk::new(&self.deployment, seed, now);
+        let mut core = DirectorCore::new(&self.deployment, seed, now);
         let deployment = self.agreed.is_some().then(|| Box::new(Deployment::clone(&self.deployment)));
-        self.write_journal(&journal::Line::Start { seed, now, book: deployment });
+        self.write_journal(&journal::JournalEntry::Start { seed, now, deployment });
         if let Some(path) = &self.deployment.roster.cache {
             match load_list(path) {
                 Ok(Some(list)) => {
@@ -294,7 +296,7 @@
         let mut round_duration = Duration::ZERO;
         let mut last_counts_at = Instant::now();
         loop {
-            let wait = (core.wake_at() - self.now()).clamp(0.0, 3600.0);
+            let wait = (core.next_timer_at() - self.now()).clamp(0.0, 3600.0);
             let next_timer_at = tokio::time::Instant::now() + Duration::from_secs_f64(wait);
             let first = tokio::select! {
                 biased;
@@ -336,7 +338,7 @@
             core.round(now, &mut |e| effects.push(e));
             last_round_at = Instant::now();
             if self.journal.is_some() {
-                self.write_journal(&journal::Line::Round { now, effects: effects.clone() });
+                self.write_journal(&journal::JournalEntry::Round { now, effects: effects.clone() });
             }
             if self.carry_out(effects) {
                 // Inputs that were received before the shutdown are answered too.
@@ -364,7 +366,7 @@
 
     /// Passes the rules and the lease in force to the core. Called before each round, because the process may have been
     /// paused.
-    fn update_rules(&mut self, core: &mut Desk, now: f64) {
+    fn update_rules(&mut self, core: &mut DirectorCore, now: f64) {
         /// Smallest change of a lease's end that is passed to the core, in seconds.
         const MIN_LEASE_CHANGE: f64 = 1e-3;
         let Some(agreed) = &mut self.agreed else { return };
@@ -383,7 +385,7 @@
         }
         if let Some(label) = label {
             let book = Box::new(Deployment::clone(&rules.settings));
-            self.handle_input(core, now, (Instant::now(), Input::Rules { book, label }));
+            self.handle_input(core, now, (Instant::now(), Input::Rules { deployment: book, label }));
         }
         if lease_changed {
             // Without a lease: a time in the past of the core, because the journal cannot represent infinity.
@@ -413,12 +415,12 @@
                 Effect::Node { node, link, bytes } => {
                     self.send_to_node(node, link, ToNode { bytes, leased: None });
                 }
-                Effect::Leased { node, link, name, bytes } => {
+                Effect::Leased { node, link, batch: name, bytes } => {
                     let until = self.agreed.as_ref().map_or(f64::INFINITY, |a| a.lease);
                     self.send_to_node(node, link, ToNode { bytes, leased: Some((until, name)) });
                 }
-                Effect::HangUp { node, link } => self.hang_up(node, link),
-                Effect::AskRoster(request) => {
+                Effect::Disconnect { node, link } => self.hang_up(node, link),
+                Effect::RequestRoster(request) => {
                     let _ = self.roster_requests.send(request);
                 }
                 Effect::Keeper(request) => {
@@ -429,8 +431,8 @@
                 Effect::SaveList(list) => {
                     self.save_list.send_replace(Some(list));
                 }
-                Effect::Note { sess: Some(sess), text } => tracing::debug!(sess, "{text}"),
-                Effect::Note { sess: None, text } => tracing::info!("{text}"),
+                Effect::Log { sess: Some(sess), text } => tracing::debug!(sess, "{text}"),
+                Effect::Log { sess: None, text } => tracing::info!("{text}"),
                 Effect::Fault(why) => tracing::error!(%why, "the core reports an error"),
                 Effect::Done => done = true,
             }
@@ -472,7 +474,7 @@
     }
 
     fn queue_link_lost(&mut self, node: u32, link: u64) {
-        self.queue_input(Input::Node { node, link, word: NodeWord::Lost });
+        self.queue_input(Input::Node { node, link, event: NodeEvent::ConnectionLost });
     }
 
     fn dial(&mut self, node: u32, link: u64, address: SocketAddr) {
@@ -516,7 +518,7 @@
                         open -= usize::from(matches!(event, SocketEvent::Closed(_)))
                     }
                     Some((_, input)) = input_queue.recv() => {
-                        open -= usize::from(matches!(input, Input::Node { word: NodeWord::Lost, .. }));
+                        open -= usize::from(matches!(input, Input::Node { event: NodeEvent::ConnectionLost, .. }));
                     }
                     else => return,
                 }
@@ -562,18 +564,18 @@
     node: u32, link: u64, address: SocketAddr, mut from: mpsc::UnboundedReceiver<ToNode>,
     queued: Arc<AtomicUsize>, inputs: mpsc::Sender<TimedInput>, clock: Option<BootClock>,
 ) {
-    let send_event = |word| inputs.send((Instant::now(), Input::Node { node, link, word }));
+    let send_event = |event| inputs.send((Instant::now(), Input::Node { node, link, event }));
     let stream = match TcpStream::connect(address).await {
         Ok(stream) => stream,
         Err(e) => {
             tracing::info!(node, %e, "cannot connect to the node");
-            let _ = send_event(NodeWord::Unreached).await;
+            let _ = send_event(NodeEvent::ConnectFailed).await;
             return;
         }
     };
     let _ = stream.set_nodelay(true);
     let (mut read, mut write) = stream.into_split();
-    if send_event(NodeWord::Up).await.is_err() {
+    if send_event(NodeEvent::Connected).await.is_err() {
         return;
     }
     let reader = async {
@@ -582,7 +584,7 @@
             match kelpdoor_rtsp::parse(&buf) {
                 Ok(Some((message, len))) => {
                     buf.drain(..len);
-                    if send_event(NodeWord::Said(message)).await.is_err() {
+                    if send_event(NodeEvent::Received(message)).await.is_err() {
                         return "the director ends".to_owned();
                     }
                     continue;
@@ -603,7 +605,7 @@
             if let Some((_, name)) = leased.filter(|l| expired(l.0)) {
                 // The process was paused, or the node read the preceding bytes too slowly.
                 queued.fetch_sub(bytes.len(), Ordering::Relaxed);
-                let _ = inputs.send((Instant::now(), Input::Unsent { node, link, name })).await;
+                let _ = inputs.send((Instant::now(), Input::Unsent { node, link, batch: name })).await;
                 continue;
             }
             if let Err(e) = write.write_all(&bytes).await {
@@ -619,7 +621,7 @@
         why = writer => why,
     };
     tracing::info!(node, %why, "connection to the node ended");
-    let _ = send_event(NodeWord::Lost).await;
+    let _ = send_event(NodeEvent::ConnectionLost).await;
 }
 
 async fn accept(
@@ -707,7 +709,9 @@
 }
 
 /// Creates the input for a message. If the message has a token that is needed, removes and verifies it.
-fn player_input(sock: u64, mut message: FromPlayer, verifier: Option<(&TokenVerifier, &mut Gate)>) -> Input {
+fn player_input(
+    sock: u64, mut message: FromPlayer, verifier: Option<(&TokenVerifier, &mut RateLimiter)>,
+) -> Input {
     let token = match &mut message {
         FromPlayer::Start { group, token, .. } => {
             let token = token.take();
@@ -718,8 +722,8 @@
     };
     match (token, verifier) {
         (Some(token), Some((verifier, rate_limiter))) => {
-            let shown = verifier.verify(&token, rate_limiter);
-            Input::Shown { sock, message, shown }
+            let check = verifier.verify(&token, rate_limiter);
+            Input::PlayerWithToken { sock, message, check }
         }
         _ => Input::Player { sock, message },
     }
@@ -748,7 +752,7 @@
     }
     let started = Instant::now();
     let reader = async {
-        let mut rate_limiter = Gate::new(deployment.players.messages_a_second, 0.0);
+        let mut rate_limiter = RateLimiter::new(deployment.players.messages_a_second, 0.0);
         let mut token_rate_limiter = verifier.map(TokenVerifier::socket_rate_limiter);
         loop {
             let message = match timeout(idle, stream.next()).await {
@@ -767,10 +771,10 @@
                 let len = text.len();
                 own.put(Out::Text(text), len, limit)
             };
-            match rate_limiter.pass(started.elapsed().as_secs_f64()) {
-                Pass::Taken => {}
-                Pass::Closed => return Some((CloseCode::Policy, "too many messages")),
-                Pass::Refused => {
+            match rate_limiter.check(started.elapsed().as_secs_f64()) {
+                RateDecision::Accepted => {}
+                RateDecision::Close => return Some((CloseCode::Policy, "too many messages")),
+                RateDecision::Refused => {
                     if !error(ErrorCode::TooFast, "too many messages a second".to_owned()) {
                         return Some((CloseCode::Policy, "too many messages"));
                     }
@@ -856,7 +860,7 @@
 /// Follows the roster's feed; reconnects whenever the connection ends.
 async fn follow_roster(
     deployment: Arc<Deployment>, inputs: mpsc::Sender<TimedInput>,
-    mut requests: mpsc::UnboundedReceiver<ToRoster>,
+    mut requests: mpsc::UnboundedReceiver<RosterRequest>,
 ) {
     let mut delay = MIN_ROSTER_RECONNECT_DELAY;
     loop {
@@ -869,7 +873,7 @@
             }
         };
         tracing::warn!(%why, "connection to the roster ended; keeping the last valid list");
-        if inputs.send((Instant::now(), Input::Roster(FromRoster::Failed))).await.is_err() {
+        if inputs.send((Instant::now(), Input::Roster(RosterMessage::Failed))).await.is_err() {
             return;
         }
         sleep(Duration::from_secs_f64(delay * (0.5 + fastrand::f64()))).await;
@@ -880,10 +884,10 @@
 
 async fn read_roster(
     stream: TcpStream, deployment: &Deployment, inputs: &mpsc::Sender<TimedInput>,
-    requests: &mut mpsc::UnboundedReceiver<ToRoster>,
+    requests: &mut mpsc::UnboundedReceiver<RosterRequest>,
 ) -> String {
     let (read, mut write) = stream.into_split();
-    let hello = ToRoster::Hello { director: deployment.director.me };
+    let hello = RosterRequest::Hello { director: deployment.director.me };
     let mut first = serde_json::to_string(&hello).expect("plain data");
     first.push('\n');
     if let Err(e) = write.write_all(first.as_bytes()).await {
@@ -900,7 +904,7 @@
                 Ok(_) if !line.ends_with(b"\n") => return "line too long or truncated".to_owned(),
                 Ok(_) => {}
             }
-            match serde_json::from_slice::<FromRoster>(&line) {
+            match serde_json::from_slice::<RosterMessage>(&line) {
                 Err(e) => tracing::warn!(%e, "ignoring an invalid line from the roster"),
                 Ok(message) => {
                     if inputs.send((Instant::now(), Input::Roster(message))).await.is_err() {
--- a/crates/kelpdoor-director/src/token_verifier.rs
+++ b/crates/kelpdoor-director/src/token_verifier.rs
@@ -11,8 +11,8 @@
 use kelpdoor_tokens::{KeySet, TokenRules, verify};
 use tokio::time::sleep;
 
-use crate::effect::Shown;
-use crate::gate::{Gate, Pass};
+use crate::effect::TokenCheck;
+use crate::rate_limiter::{RateDecision, RateLimiter};
 
 /// Verifies tokens with the current key set, within rate limits.
 pub struct TokenVerifier {
@@ -20,7 +20,7 @@
     rules: TokenRules,
     keys: RwLock<Arc<KeySet>>,
     /// Rate limit of the whole director, so that a flood of tokens over many sockets does not use up its cores.
-    rate_limiter: Mutex<Gate>,
+    rate_limiter: Mutex<RateLimiter>,
     started: Instant,
     /// Service groups that need a token; tokens for other groups are not verified.
     groups: Vec<String>,
@@ -52,7 +52,7 @@
         Ok(Some(Arc::new(TokenVerifier {
             rules,
             keys: RwLock::new(Arc::new(keys)),
-            rate_limiter: Mutex::new(Gate::new(tokens.a_second, 0.0)),
+            rate_limiter: Mutex::new(RateLimiter::new(tokens.a_second, 0.0)),
             started: Instant::now(),
             groups,
             settings: tokens,
@@ -65,23 +65,23 @@
     }
 
     /// Creates the rate limiter of one socket.
-    pub fn socket_rate_limiter(&self) -> Gate {
-        Gate::new(self.settings.socket_a_second, self.started.elapsed().as_secs_f64())
+    pub fn socket_rate_limiter(&self) -> RateLimiter {
+        RateLimiter::new(self.settings.socket_a_second, self.started.elapsed().as_secs_f64())
     }
 
     /// Verifies a token, within the rate limits of its socket and of the director.
-    pub fn verify(&self, token: &str, socket: &mut Gate) -> Shown {
+    pub fn verify(&self, token: &str, socket: &mut RateLimiter) -> TokenCheck {
         let at = self.started.elapsed().as_secs_f64();
         let mut director = self.rate_limiter.lock().unwrap_or_else(PoisonError::into_inner);
-        if socket.pass(at) != Pass::Taken || director.pass(at) != Pass::Taken {
-            return Shown::TooFast;
+        if socket.check(at) != RateDecision::Accepted || director.check(at) != RateDecision::Accepted {
+            return TokenCheck::TooFast;
         }
         drop(director);
         let keys = self.keys.read().unwrap_or_else(PoisonError::into_inner).clone();
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64());
         match verify(token, &keys, &self.rules, now) {
-            Ok(entitlement) => Shown::Good(Box::new(entitlement)),
-            Err(why) => Shown::Bad(why.to_string()),
+            Ok(entitlement) => TokenCheck::Valid(Box::new(entitlement)),
+            Err(why) => TokenCheck::Refused(why.to_string()),
         }
     }
 
--- a/crates/kelpdoor-lab/tests/sockets.rs
+++ b/crates/kelpdoor-lab/tests/sockets.rs
@@ -52,7 +52,7 @@
     let script = director_script(&shared, &size, 0, world.roster_at, Path::new("/nonexistent/list"));
     let deployment = Deployment::parse("test", &script).expect("good settings");
     let running = serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
-    until(|| running.counts().links_up == 4).await;
+    until(|| running.counts().connected_links == 4).await;
     (world, running)
 }
 
@@ -355,6 +355,6 @@
         let book = Deployment::read(&settings).expect("good settings");
         let done = journal::replay(BufReader::new(std::fs::File::open(kept).unwrap()), Some(&book)).unwrap();
         assert!(done.inputs > 100 && done.effects > 100, "{done:?}");
-        assert_eq!(done.differs, None);
+        assert_eq!(done.first_difference, None);
     }
 }
