--- a/crates/kelpdoord/src/agreed.rs
+++ b/crates/kelpdoord/src/agreed.rs
@@ -1,4 +1,4 @@
-//! What operators ask voters for: the next version, and who acts on what.
+//! Commands that query voters: proposing a version of the agreed rules, and showing which director acts on which version.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,170 +15,199 @@
 use serde_json::json;
 use tokio::sync::watch;
 
-use crate::told;
+use crate::join_errors;
 
-/// A voter is connected within this.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Somewhat longer than a voter takes to give a proposal up.
-const ANSWER: Duration = Duration::from_secs(7);
-/// Looks for the newest version wait so long for a voter; those that are up answer within ms.
-const LOOK: Duration = Duration::from_secs(1);
-/// Lists of voters followed from one to the next at most.
-const LISTS: usize = 4;
-/// s; a director that has not asked for so long is shown as cut off, whatever its lease was.
-const CUT_OFF: f64 = 5.0;
+/// Timeout for connecting to a voter and for writing a request.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for a response: longer than a voter takes to give up on a proposal.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(7);
+/// Timeout for a response in a search for the newest version. Voters that are up respond within milliseconds.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of voter lists to follow, each named by the newest version that the voters of the list before have.
+const MAX_VOTER_LISTS: usize = 4;
+/// A director that has sent no request for this many seconds is shown as cut off, whatever its lease.
+const CUT_OFF_SECONDS: f64 = 5.0;
 
-/// A document's text, and what it says.
-pub fn document(file: &Path) -> Result<(String, AgreedSettings)> {
+/// Reads a document of agreed rules; returns its text and the parsed settings.
+///
+/// # Errors
+///
+/// If the file cannot be read or its settings are invalid.
+pub fn read_document(file: &Path) -> Result<(String, AgreedSettings)> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).with_context(|| name.clone())?;
-    let shared = AgreedSettings::parse(&name, &text).map_err(told)?;
-    Ok((text, shared))
+    let settings = AgreedSettings::parse(&name, &text).map_err(join_errors)?;
+    Ok((text, settings))
 }
 
-/// The voters as they are known here: of the settings at first, then of the newest version that any of those has.
+/// The known voters: at first those of the local settings, then those listed in the newest version that any of them has.
 pub struct Voters {
-    own: Agreement,
-    at: BTreeMap<VoterId, SocketAddr>,
+    agreement: Agreement,
+    addresses: BTreeMap<VoterId, SocketAddr>,
     newest: Option<Chosen>,
 }
 
 impl Voters {
-    /// As a director's own settings name them.
-    pub fn of(config: &Path) -> Result<Self> {
-        let own = LocalSettings::read(config).map_err(told)?;
-        let own = own.with_context(|| format!("{}: no agreement(..) in it", config.display()))?;
-        let own = own.agreement;
-        // Those of the settings may all be gone by now: a director's copy names those who came after them.
-        let kept = kept(&own)?;
-        let at = addresses(&own.voters, kept.as_ref().and_then(listed_in), &own.reach);
-        let mut voters = Voters { own, at, newest: None };
-        // A newer list may name more, who know of a newer list still.
-        for _ in 0..LISTS {
-            let before = voters.at.clone();
-            voters.look();
-            if voters.at == before {
+    /// Reads a director's local settings and finds the current voters from those that the settings name.
+    ///
+    /// # Errors
+    ///
+    /// If the settings are invalid or have no `agreement(..)`, or if the director's copy of the rules is of another fleet.
+    pub fn from_config(config: &Path) -> Result<Self> {
+        let settings = LocalSettings::read(config).map_err(join_errors)?;
+        let settings = settings.with_context(|| format!("{}: agreement(..) is missing", config.display()))?;
+        let agreement = settings.agreement;
+        // All voters in the settings may have been replaced; the director's stored copy lists their successors.
+        let stored = kept(&agreement)?;
+        let addresses =
+            addresses(&agreement.voters, stored.as_ref().and_then(listed_voters), &agreement.reach);
+        let mut voters = Voters { agreement, addresses, newest: None };
+        // A newer list may name further voters, and those may know of an even newer list.
+        for _ in 0..MAX_VOTER_LISTS {
+            let before = voters.addresses.clone();
+            voters.refresh();
+            if voters.addresses == before {
                 break;
             }
         }
         Ok(voters)
     }
 
-    /// The newest version of each voter that answers soon; all are asked at once, so that one that stands still holds up
-    /// nothing.
-    fn standing(&self) -> Vec<(VoterId, u64)> {
-        let ask = |k: VoterId| match self.ask_within(k, &ClientRequest::Status, LOOK) {
+    /// Returns the newest version of each voter that responds within [`STATUS_TIMEOUT`]. Queries all voters in parallel, so
+    /// that a stalled voter does not delay the others.
+    fn newest_by_voter(&self) -> Vec<(VoterId, u64)> {
+        let query = |k: VoterId| match self.request_within(k, &ClientRequest::Status, STATUS_TIMEOUT) {
             Ok(VoterResponse::Status { newest, .. }) => Some((k, newest)),
             _ => None,
         };
         std::thread::scope(|s| {
-            let all: Vec<_> = self.at.keys().map(|k| s.spawn(move || ask(*k))).collect();
-            all.into_iter().filter_map(|t| t.join().ok().flatten()).collect()
+            let threads: Vec<_> = self.addresses.keys().map(|k| s.spawn(move || query(*k))).collect();
+            threads.into_iter().filter_map(|t| t.join().ok().flatten()).collect()
         })
     }
 
-    /// Asks each voter known of for the newest version, and takes its list.
-    fn look(&mut self) {
+    /// Fetches the newest version that any known voter has, and updates the addresses from its list.
+    fn refresh(&mut self) {
         let mut newest: Option<Chosen> = self.newest.take();
-        let mut standing = self.standing();
-        standing.sort_by_key(|(_, n)| std::cmp::Reverse(*n));
-        for (k, n) in standing {
+        let mut by_voter = self.newest_by_voter();
+        by_voter.sort_by_key(|(_, n)| std::cmp::Reverse(*n));
+        for (k, n) in by_voter {
             if n <= newest.as_ref().map_or(0, |c| c.number) {
                 break;
             }
             if let Ok(VoterResponse::Content { found: Some(c) }) =
-                self.ask_within(k, &ClientRequest::Content { number: n }, LOOK)
+                self.request_within(k, &ClientRequest::Content { number: n }, STATUS_TIMEOUT)
             {
                 newest = Some(c);
             }
         }
         if let Some(c) = &newest {
-            self.at = addresses(&self.own.voters, listed_in(c), &self.own.reach);
+            self.addresses = addresses(&self.agreement.voters, listed_voters(c), &self.agreement.reach);
         }
         self.newest = newest;
     }
 
-    /// Those who decide the next version, if any was agreed; else those of the settings.
-    fn deciding(&self) -> Vec<VoterId> {
+    /// Returns the voters that decide the next version: those listed in the newest version, or those of the settings if no
+    /// version is agreed yet.
+    fn deciding_voters(&self) -> Vec<VoterId> {
         let list = self
             .newest
             .as_ref()
             .and_then(|c| AgreedSettings::parse("the newest version", &c.value.text).ok());
         match list {
-            Some(shared) => shared.voters.at.into_keys().map(VoterId).collect(),
-            None => self.at.keys().copied().collect(),
+            Some(settings) => settings.voters.at.into_keys().map(VoterId).collect(),
+            None => self.addresses.keys().copied().collect(),
         }
     }
 
-    /// A voter's answer.
-    fn ask(&self, k: VoterId, ask: &ClientRequest) -> Result<VoterResponse> {
-        self.ask_within(k, ask, ANSWER)
+    /// Sends a request to a voter and returns the response.
+    fn request(&self, k: VoterId, request: &ClientRequest) -> Result<VoterResponse> {
+        self.request_within(k, request, RESPONSE_TIMEOUT)
     }
 
-    fn ask_within(&self, k: VoterId, ask: &ClientRequest, wait: Duration) -> Result<VoterResponse> {
-        let at = *self.at.get(&k).context("no such voter")?;
+    fn request_within(
+        &self, k: VoterId, request: &ClientRequest, timeout: Duration,
+    ) -> Result<VoterResponse> {
+        let address = *self.addresses.get(&k).context("unknown voter")?;
         let k = k.0;
-        let mut stream =
-            TcpStream::connect_timeout(&at, CONNECT).with_context(|| format!("voter {k} at {at}"))?;
-        stream.set_read_timeout(Some(wait))?;
-        stream.set_write_timeout(Some(CONNECT))?;
-        let mut text = serde_json::to_vec(&ClientRequest::Hello { fleet: self.own.fleet.clone() })?;
+        let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)
+            .with_context(|| format!("voter {k} at {address}"))?;
+        stream.set_read_timeout(Some(timeout))?;
+        stream.set_write_timeout(Some(CONNECT_TIMEOUT))?;
+        let mut text = serde_json::to_vec(&ClientRequest::Hello { fleet: self.agreement.fleet.clone() })?;
         text.push(b'\n');
-        serde_json::to_writer(&mut text, ask)?;
+        serde_json::to_writer(&mut text, request)?;
         text.push(b'\n');
         stream.write_all(&text)?;
         let mut lines = BufReader::new(stream).take(4 * MAX_LINE as u64);
-        let mut next = || -> Result<VoterResponse> {
+        let mut read_response = || -> Result<VoterResponse> {
             let mut line = String::new();
-            let n = lines.read_line(&mut line).with_context(|| format!("voter {k} at {at}: no answer"))?;
+            let n =
+                lines.read_line(&mut line).with_context(|| format!("voter {k} at {address}: no response"))?;
             if n == 0 {
-                bail!("voter {k} at {at}: no answer");
+                bail!("voter {k} at {address}: connection closed without a response");
             }
-            match serde_json::from_str(&line).with_context(|| format!("voter {k} at {at}"))? {
-                VoterResponse::Fault(why) => bail!("voter {k} at {at}: {why}"),
-                tell => Ok(tell),
+            match serde_json::from_str(&line).with_context(|| format!("voter {k} at {address}"))? {
+                VoterResponse::Fault(why) => bail!("voter {k} at {address}: {why}"),
+                response => Ok(response),
             }
         };
-        match next()? {
-            VoterResponse::Welcome { me } if me.0 == k => next(),
-            VoterResponse::Welcome { me } => bail!("the voter at {at} has number {}, not {k}", me.0),
-            other => bail!("voter {k} at {at} answers with something else: {other:?}"),
+        match read_response()? {
+            VoterResponse::Welcome { me } if me.0 == k => read_response(),
+            VoterResponse::Welcome { me } => bail!("the voter at {address} has number {}, not {k}", me.0),
+            other => bail!("voter {k} at {address}: unexpected response: {other:?}"),
         }
     }
 
-    /// An agreed version, from whichever voter still has it.
-    pub fn content(&self, number: u64) -> Result<Chosen> {
-        let mut why = anyhow::anyhow!("no voter has version {number} any more");
-        for k in self.at.keys() {
-            match self.ask(*k, &ClientRequest::Content { number }) {
+    /// Fetches an agreed version from the first voter that still has it.
+    ///
+    /// # Errors
+    ///
+    /// If no voter has it; the context lists the voters that failed.
+    pub fn fetch_version(&self, number: u64) -> Result<Chosen> {
+        let mut error = anyhow::anyhow!("no voter has version {number} any more");
+        for k in self.addresses.keys() {
+            match self.request(*k, &ClientRequest::Content { number }) {
                 Ok(VoterResponse::Content { found: Some(c) }) => return Ok(c),
                 Ok(_) => {}
-                Err(e) => why = why.context(e),
+                Err(e) => error = error.context(e),
             }
         }
-        Err(why)
+        Err(error)
     }
 
-    fn newest(&self) -> Result<Option<Chosen>> {
-        let deciding = self.deciding();
-        let heard = self.standing().iter().filter(|(k, _)| deciding.contains(k)).count();
-        if heard * 2 <= deciding.len() {
-            bail!("{heard} of {} voters answer, which is no majority", deciding.len());
+    /// Returns the newest version, provided that a majority of the deciding voters responds.
+    fn newest_from_majority(&self) -> Result<Option<Chosen>> {
+        let deciding = self.deciding_voters();
+        let responding = self.newest_by_voter().iter().filter(|(k, _)| deciding.contains(k)).count();
+        if responding * 2 <= deciding.len() {
+            bail!("{responding} of {} voters responded, which is no majority", deciding.len());
         }
         Ok(self.newest.clone())
     }
 
+    /// Prints the newest version's document on standard output and its label on standard error.
+    ///
+    /// # Errors
+    ///
+    /// If no majority responds or no version is agreed yet.
     pub fn print_document(&self) -> Result<()> {
-        let c = self.newest()?.context("nothing is agreed yet")?;
+        let c = self.newest_from_majority()?.context("no version is agreed yet")?;
         eprintln!("version {}", c.label());
         print!("{}", c.value.text);
         Ok(())
     }
 
+    /// Proposes `text` as the version that follows `after`, and prints the label of the agreed version. With `dry_run`, prints
+    /// the changes with their impact, and proposes nothing.
+    ///
+    /// # Errors
+    ///
+    /// If the document is invalid, `after` is not the newest version, another proposal was chosen, or no voter confirms.
     pub fn propose(&self, text: &str, after: u64, dry_run: bool, sure: bool) -> Result<()> {
-        let new = AgreedSettings::parse("the document", text).map_err(told)?;
+        let new = AgreedSettings::parse("the document", text).map_err(join_errors)?;
         if dry_run {
-            let newest = self.newest()?;
+            let newest = self.newest_from_majority()?;
             let number = newest.as_ref().map_or(0, |c| c.number);
             if number != after {
                 bail!("the newest version is {number}, not {after}");
@@ -187,15 +216,15 @@
                 println!("it would be the first version");
                 return Ok(());
             };
-            let old = AgreedSettings::parse("the version before", &newest.value.text).map_err(told)?;
-            show_changes(&check_transition(&old, &new, sure).map_err(|e| anyhow::anyhow!(e))?);
+            let old = AgreedSettings::parse("the version before", &newest.value.text).map_err(join_errors)?;
+            print_changes(&check_transition(&old, &new, sure).map_err(|e| anyhow::anyhow!(e))?);
             return Ok(());
         }
-        // The same under the same name at each voter: one that was heard only half is not proposed twice.
+        // Every voter gets the proposal under the same id, so that one whose response was lost is not proposed twice.
         let value = Value { id: fastrand::u64(..), text: text.to_owned() };
-        let mut why = Vec::new();
-        for k in self.deciding() {
-            match self.ask(k, &ClientRequest::Propose { after, value: value.clone(), sure }) {
+        let mut refusals = Vec::new();
+        for k in self.deciding_voters() {
+            match self.request(k, &ClientRequest::Propose { after, value: value.clone(), sure }) {
                 Ok(VoterResponse::Agreed { number }) => {
                     println!("agreed {}", Chosen { number, value }.label());
                     return Ok(());
@@ -203,30 +232,32 @@
                 Ok(VoterResponse::Lost { newest, digest }) => {
                     bail!("another proposal came first: the newest version is {newest}/{digest}")
                 }
-                Ok(VoterResponse::NotTaken { why: w } | VoterResponse::Unknown { why: w }) => {
-                    why.push(format!("voter {}: {w}", k.0))
+                Ok(VoterResponse::NotTaken { why } | VoterResponse::Unknown { why }) => {
+                    refusals.push(format!("voter {}: {why}", k.0))
                 }
-                Ok(other) => why.push(format!("voter {} answers with something else: {other:?}", k.0)),
-                Err(e) => why.push(format!("{e:#}")),
+                Ok(other) => refusals.push(format!("voter {}: unexpected response: {other:?}", k.0)),
+                Err(e) => refusals.push(format!("{e:#}")),
             }
         }
-        bail!("not agreed, as far as is known:\n{}", why.join("\n"))
+        bail!("the proposal is not known to be agreed:\n{}", refusals.join("\n"))
     }
 
-    pub fn show(&self, json: bool) -> Result<()> {
+    /// Prints the status of every known voter, and of every director that any of them knows. Voters that do not respond are
+    /// shown with their error.
+    pub fn print_status(&self, json: bool) -> Result<()> {
         let mut voters = Vec::new();
         let mut directors: BTreeMap<String, DirectorStatus> = BTreeMap::new();
         let (mut newest, mut rate) = (0, 0.0f64);
-        for k in self.at.keys() {
-            let answer = self.ask(*k, &ClientRequest::Status);
+        for k in self.addresses.keys() {
+            let response = self.request(*k, &ClientRequest::Status);
             let k = k.0;
-            voters.push(match answer {
-                Ok(VoterResponse::Status { newest: n, digest, pending, votes, listed, changes, directors: of, .. }) => {
+            voters.push(match response {
+                Ok(VoterResponse::Status { newest: n, digest, pending, votes, listed, changes, directors: known, .. }) => {
                     newest = newest.max(n);
                     rate = rate.max(changes);
-                    for d in of {
-                        let known = directors.get(&d.name).is_none_or(|o| o.heard > d.heard);
-                        if known {
+                    for d in known {
+                        let is_latest = directors.get(&d.name).is_none_or(|o| o.heard > d.heard);
+                        if is_latest {
                             directors.insert(d.name.clone(), d);
                         }
                     }
@@ -237,25 +268,25 @@
             });
         }
         if json {
-            let of = |d: &DirectorStatus| {
+            let to_json = |d: &DirectorStatus| {
                 json!({ "name": d.name, "version": d.have, "behind": newest.saturating_sub(d.have), "acts": d.acts,
-                    "heard": d.heard, "lease_left": (d.left - d.heard).max(0.0), "cut_off": d.heard > CUT_OFF })
+                    "heard": d.heard, "lease_left": (d.left - d.heard).max(0.0), "cut_off": d.heard > CUT_OFF_SECONDS })
             };
-            let directors: Vec<_> = directors.values().map(of).collect();
+            let directors: Vec<_> = directors.values().map(to_json).collect();
             println!(
                 "{}",
-                json!({ "fleet": self.own.fleet, "newest": newest, "changes_a_second": rate, "voters": voters, "directors": directors })
+                json!({ "fleet": self.agreement.fleet, "newest": newest, "changes_a_second": rate, "voters": voters, "directors": directors })
             );
             return Ok(());
         }
         println!(
             "fleet {}, newest version {newest}, {rate:.2} changes a second over the last minute",
-            self.own.fleet
+            self.agreement.fleet
         );
         for v in &voters {
             let k = &v["voter"];
             match v["fault"].as_str() {
-                Some(fault) => println!("voter {k}: {fault}"),
+                Some(error) => println!("voter {k}: {error}"),
                 None => {
                     let votes = match (v["listed"] == true, v["votes"] == true) {
                         (false, _) => ", not on the list",
@@ -272,22 +303,26 @@
             }
         }
         for d in directors.values() {
-            let cut = if d.heard > CUT_OFF { ", cut off" } else { "" };
+            let cut_off = if d.heard > CUT_OFF_SECONDS { ", cut off" } else { "" };
             let acts = if d.acts.is_empty() { "nothing" } else { &d.acts };
             let behind = match newest.saturating_sub(d.have) {
                 0 => String::new(),
                 n => format!(", {n} versions behind"),
             };
-            println!("director {}: acts on {acts}{behind}, heard {:.1} s ago{cut}", d.name, d.heard);
+            println!("director {}: acts on {acts}{behind}, heard {:.1} s ago{cut_off}", d.name, d.heard);
         }
         Ok(())
     }
 }
 
-/// Tells a keeper of seats the agreed schools, under a lease like a director's.
-pub async fn follow_schools(own: Agreement, sold: watch::Sender<Sold>) -> Result<()> {
-    let book = |of: &keys::SchoolSeats| (pools(of.schools()), true);
-    let mut following = Following::reading(own, (), book).await?;
+/// Passes the agreed schools to a keeper of seats, under a lease like a director's. Runs until cancelled.
+///
+/// # Errors
+///
+/// If following the agreed rules cannot be started.
+pub async fn follow_schools(agreement: Agreement, sold: watch::Sender<Sold>) -> Result<()> {
+    let book = |seats: &keys::SchoolSeats| (pools(seats.schools()), true);
+    let mut following = Following::reading(agreement, (), book).await?;
     loop {
         let r = following.ruling();
         let schools = r.book.to_vec();
@@ -296,19 +331,19 @@
     }
 }
 
-/// Where a version says that voters are reached.
-fn listed_in(c: &Chosen) -> Option<BTreeMap<u8, SocketAddr>> {
+/// Returns the addresses of the voters that a version lists; `None` if its document is unreadable.
+fn listed_voters(c: &Chosen) -> Option<BTreeMap<u8, SocketAddr>> {
     read(&c.value.text).ok().map(|s| s.voters.at.clone())
 }
 
-fn show_changes(changes: &[Change]) {
+fn print_changes(changes: &[Change]) {
     if changes.is_empty() {
         println!("nothing would change");
     }
     for c in changes {
         println!("{}: {} -> {}, {}", c.key, c.old, c.new, c.class.name());
-        if let Some(cuts) = &c.impact {
-            println!("    cut short: {cuts}");
+        if let Some(impact) = &c.impact {
+            println!("    impact: {impact}");
         }
     }
 }
--- a/crates/kelpdoord/src/lib.rs
+++ b/crates/kelpdoord/src/lib.rs
@@ -1,4 +1,5 @@
-//! `kelpdoord` as a function, so that the lab can start the very same program from its own binary.
+//! The daemon `kelpdoord`: command line, settings, logging and signals around the libraries. It is a library so that
+//! `kelpdoor-lab` can run the same program from its own binary.
 
 mod agreed;
 
@@ -28,107 +29,107 @@
 #[command(name = "kelpdoord", version, about = "A session front that places and shapes video sessions")]
 struct Arguments {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Text,
     Json,
 }
 
-/// How a document is proposed.
+/// Options of a proposal.
 #[derive(clap::Args)]
-struct Proposal {
-    /// The version that it was made from; 0 for the first.
+struct ProposalOptions {
+    /// The version that the document is based on; 0 for the first.
     #[arg(long)]
     after: u64,
-    /// A director's own settings, which name fleet and voters.
+    /// A director's local settings, which name the fleet and its voters.
     #[arg(long)]
     config: PathBuf,
-    /// Say what would change and whom it would cut short, and propose nothing.
+    /// Print what would change and its impact, without proposing it.
     #[arg(long)]
     dry_run: bool,
-    /// Half of the directors may go at once.
+    /// Confirm a change that removes half or more of the directors, voters or usable nodes at once.
     #[arg(long)]
     sure: bool,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Run a director. Its address is printed on standard output, logs go to standard error.
+enum Command {
+    /// Run a director. Prints its address on standard output; logs go to standard error.
     Serve {
         /// The settings, a Starlark script.
         #[arg(long)]
         config: PathBuf,
         #[arg(long, value_enum, default_value = "text")]
-        log: LogForm,
+        log: LogFormat,
         /// What to log, as in `info` or `kelpdoor_director=debug`.
         #[arg(long, default_value = "info")]
         log_filter: String,
-        /// Write all that comes in and all that is done to this file, for `replay`.
+        /// Record every input and effect in this file, for `replay`.
         #[arg(long)]
         journal: Option<PathBuf>,
-        /// End at once when standard input closes, for whoever starts directors and may die before them.
+        /// Exit when standard input closes, so that the process does not outlive the one that started it.
         #[arg(long)]
         stay_with_stdin: bool,
-        /// The fleet is founded now: once for each voter, which has no store yet; of a voter in this process.
+        /// Found a new fleet. Needed once for each voter, while it has no store yet; applies to a voter in this process.
         #[arg(long)]
         found: bool,
-        /// Threads for sockets and decisions.
+        /// Number of worker threads, for sockets and decisions.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=64))]
         threads: u16,
     },
-    /// Check settings: each fault with file, line and column.
+    /// Check settings and print each error with file, line and column.
     Check {
         #[arg(long, required_unless_present = "document")]
         config: Option<PathBuf>,
-        /// Rules that directors agree on, as for `propose`.
+        /// A document of agreed rules, as for `propose`.
         #[arg(long, conflicts_with = "config")]
         document: Option<PathBuf>,
-        /// Print the settings as they were understood.
+        /// Print the parsed settings as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Run a voter of what directors agree on, the keeper of seats for many directors, or both. A hangup signal has it read
-    /// the schools' seats again.
+    /// Run a voter for the agreed rules, the keeper of seats that directors share, or both. SIGHUP reloads the schools'
+    /// seats.
     Keeper {
-        /// Its settings: `voter(..)`, or `keeper(..)` and `school(..)`.
+        /// The settings: `voter(..)`, or `keeper(..)` and `school(..)`, or all of them.
         #[arg(long)]
         config: PathBuf,
-        /// The fleet is founded now: once for each voter, which has no store yet.
+        /// Found a new fleet. Needed once for each voter, while it has no store yet.
         #[arg(long)]
         found: bool,
         #[arg(long, value_enum, default_value = "text")]
-        log: LogForm,
+        log: LogFormat,
         #[arg(long, default_value = "info")]
         log_filter: String,
         #[arg(long)]
         stay_with_stdin: bool,
     },
-    /// Propose a document as the next version of the rules. Exit 0 if it was agreed.
+    /// Propose a document as the next version of the rules. Exits with status 0 if it was agreed.
     Propose {
         document: PathBuf,
         #[command(flatten)]
-        how: Proposal,
+        how: ProposalOptions,
     },
-    /// Propose an earlier version's content as the next version.
+    /// Propose the content of an earlier version as the next version.
     Back {
         version: u64,
         #[command(flatten)]
-        how: Proposal,
+        how: ProposalOptions,
     },
-    /// Show voters, versions, and each director with what it acts on.
+    /// Show the voters, their versions, and the version that each director acts on.
     Agreed {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
-        /// Print the newest version's document.
+        /// Print the document of the newest version.
         #[arg(long, conflicts_with = "json")]
         document: bool,
     },
-    /// List schools with their seats: bought, held, lent ahead, free, and those whose tokens run out soon.
+    /// List each school's seats: bought, held, leased to directors in advance, free, and held by tokens that expire soon.
     Seats {
         /// The keeper's address.
         #[arg(long)]
@@ -136,59 +137,64 @@
         #[arg(long)]
         json: bool,
     },
-    /// Run a director on the users' platform, as PROXY_NAME, PROXY_LISTEN and PROXY_CONFIG tell. A hangup signal has it read
-    /// where the change log is again.
+    /// Run a director on the users' platform, configured by PROXY_NAME, PROXY_LISTEN and PROXY_CONFIG. SIGHUP reloads the
+    /// address of the change log.
     Platform {
-        /// What to log: `debug` adds a line a second of what the director believes of its nodes.
+        /// What to log; `debug` adds a line per second with the director's estimates of its nodes.
         #[arg(long, default_value = "info")]
         log_filter: String,
     },
-    /// Feed a journal to the library again and compare every decision.
+    /// Replay a journal and compare every decision with the recorded one.
     Replay {
         journal: PathBuf,
-        /// The settings; a journal of a director whose rules are agreed has them.
+        /// The settings; not needed if the journal is of a director with agreed rules, which records them.
         #[arg(long)]
         config: Option<PathBuf>,
     },
 }
 
-fn told(faults: Vec<SettingsError>) -> anyhow::Error {
-    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+/// Joins settings errors into one error, one per line.
+fn join_errors(errors: Vec<SettingsError>) -> anyhow::Error {
+    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     anyhow::anyhow!(lines.join("\n"))
 }
 
-fn settings(path: &Path) -> Result<Deployment> {
-    Deployment::read(path).map_err(told)
+fn read_deployment(path: &Path) -> Result<Deployment> {
+    Deployment::read(path).map_err(join_errors)
 }
 
-/// Ends this process when its standard input closes.
-fn stay_with_stdin() {
+/// Starts a thread that exits the process with status 1 when standard input closes.
+fn exit_when_stdin_closes() {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
         std::process::exit(1);
     });
 }
 
-/// A voter, the keeper of seats, or both.
-async fn keep(config: PathBuf, found: bool) -> Result<()> {
+/// Runs what the settings contain: a voter, the keeper of seats, or both.
+async fn run_keeper_command(config: PathBuf, found: bool) -> Result<()> {
     let file = config.display().to_string();
-    let calls = kelpdoor_script::evaluate_file(&config, KEEPER_BUILTINS).map_err(told)?;
-    let voter = Voter::from_calls(&file, &calls).map_err(told)?;
-    let seats = voter.is_none() || calls.iter().any(|c| c.builtin != "voter");
-    let book = if seats { Some(KeeperSettings::from_calls(&file, &calls).map_err(told)?) } else { None };
-    match (voter, book) {
-        (Some(voter), Some(book)) => {
-            tokio::try_join!(vote(voter, found), count_seats(config, book)).map(|_| ())
+    let calls = kelpdoor_script::evaluate_file(&config, KEEPER_BUILTINS).map_err(join_errors)?;
+    let voter = Voter::from_calls(&file, &calls).map_err(join_errors)?;
+    let has_keeper = voter.is_none() || calls.iter().any(|c| c.builtin != "voter");
+    let keeper =
+        if has_keeper { Some(KeeperSettings::from_calls(&file, &calls).map_err(join_errors)?) } else { None };
+    match (voter, keeper) {
+        (Some(voter), Some(keeper)) => {
+            tokio::try_join!(run_voter(voter, found), run_seat_keeper(config, keeper)).map(|_| ())
         }
-        (Some(voter), None) => vote(voter, found).await,
-        (None, Some(book)) => count_seats(config, book).await,
+        (Some(voter), None) => run_voter(voter, found).await,
+        (None, Some(keeper)) => run_seat_keeper(config, keeper).await,
         (None, None) => Ok(()),
     }
 }
 
-/// Starts a voter, and says where it listens.
-async fn vote_at(voter: Voter, found: bool) -> Result<RunningVoter> {
-    let listen = voter.listen.or(voter.voters.get(&voter.me).copied()).context("voter: listen is missing")?;
+/// Starts a voter on the address in its settings, or else on its entry in the list of voters.
+async fn launch_voter(voter: Voter, found: bool) -> Result<RunningVoter> {
+    let listen = voter
+        .listen
+        .or(voter.voters.get(&voter.me).copied())
+        .context("voter: neither listen nor its own entry in voters is set")?;
     let options = VoterOptions {
         me: VoterId(voter.me),
         voters: voter.voters,
@@ -202,31 +208,33 @@
     start_voter(options).await.with_context(|| format!("the voter on {listen}"))
 }
 
-async fn vote(voter: Voter, found: bool) -> Result<()> {
-    let mut ends = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
-    let mut running = vote_at(voter, found).await?;
+/// Runs a voter until SIGTERM, SIGINT or its failure.
+async fn run_voter(voter: Voter, found: bool) -> Result<()> {
+    let mut stop_signals = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
+    let mut running = launch_voter(voter, found).await?;
     println!("kelpdoord voter listening on {}", running.address);
     std::io::stdout().flush()?;
-    let [term, int] = &mut ends;
+    let [term, int] = &mut stop_signals;
     tokio::select! {
         _ = term.recv() => {}
         _ = int.recv() => {}
-        ended = running.ended() => bail!("the voter ended by itself: {ended:?}"),
+        ended = running.ended() => bail!("the voter stopped unexpectedly: {ended:?}"),
     }
     running.shut_down().await;
-    running.ended().await.map_err(|e| anyhow::anyhow!("the voter did not end well: {e}"))
+    running.ended().await.map_err(|e| anyhow::anyhow!("the voter failed during shutdown: {e}"))
 }
 
-async fn count_seats(config: PathBuf, book: KeeperSettings) -> Result<()> {
-    let mut ends = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
-    let mut again = signal(SignalKind::hangup())?;
-    let mut options = keeper_options(&book.keeper, &book.schools);
-    let follows = book.agreement.is_some();
-    let mut following = JoinSet::new();
-    if let Some(own) = book.agreement {
-        let steady = BootClock::new(own.clock_rate);
-        let (tell, sold) = watch::channel(Sold::nothing());
-        following.spawn(agreed::follow_schools(own, tell));
+/// Runs the keeper of seats until SIGTERM, SIGINT or its failure. SIGHUP reloads the schools, unless they are agreed.
+async fn run_seat_keeper(config: PathBuf, settings: KeeperSettings) -> Result<()> {
+    let mut stop_signals = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
+    let mut hangup = signal(SignalKind::hangup())?;
+    let mut options = keeper_options(&settings.keeper, &settings.schools);
+    let follows_agreement = settings.agreement.is_some();
+    let mut follower_tasks = JoinSet::new();
+    if let Some(agreement) = settings.agreement {
+        let steady = BootClock::new(agreement.clock_rate);
+        let (sender, sold) = watch::channel(Sold::nothing());
+        follower_tasks.spawn(agreed::follow_schools(agreement, sender));
         options.agreed = Some(Agreed { sold, steady });
     }
     let listen = options.listen;
@@ -234,45 +242,47 @@
         kelpdoor_keeper::start(options).await.with_context(|| format!("the keeper on {listen}"))?;
     println!("kelpdoord keeper listening on {}", running.address);
     std::io::stdout().flush()?;
-    let [term, int] = &mut ends;
+    let [term, int] = &mut stop_signals;
     loop {
         tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
-            Some(ended) = following.join_next() => bail!("the agreed schools are not to be had: {ended:?}"),
-            _ = again.recv() => match KeeperSettings::read(&config) {
-                Ok(_) if follows => tracing::info!("the schools are agreed: nothing to read again"),
-                Ok(book) => {
-                    tracing::info!(schools = book.schools.len(), "read again; listen, ledger and leases stay");
-                    running.buy(keeper_options(&book.keeper, &book.schools).schools).await;
+            Some(ended) = follower_tasks.join_next() => bail!("following the agreed schools failed: {ended:?}"),
+            _ = hangup.recv() => match KeeperSettings::read(&config) {
+                Ok(_) if follows_agreement => tracing::info!("ignored SIGHUP: the schools are agreed, not in the settings file"),
+                Ok(settings) => {
+                    tracing::info!(schools = settings.schools.len(), "reloaded the schools; listen, ledger and leases are unchanged");
+                    running.buy(keeper_options(&settings.keeper, &settings.schools).schools).await;
                 }
-                Err(faults) => tracing::error!("{}; the schools stay as they were", told(faults)),
+                Err(errors) => tracing::error!("cannot reload the schools, they stay unchanged: {}", join_errors(errors)),
             },
-            ended = running.ended() => bail!("the keeper ended by itself: {ended:?}"),
+            ended = running.ended() => bail!("the keeper stopped unexpectedly: {ended:?}"),
         }
     }
     running.shut_down().await;
-    running.ended().await.map_err(|e| anyhow::anyhow!("the keeper did not end well: {e}"))
+    running.ended().await.map_err(|e| anyhow::anyhow!("the keeper failed during shutdown: {e}"))
 }
 
-/// Asks a keeper how its schools stand.
-fn seats(keeper: SocketAddr, json: bool) -> Result<()> {
-    let wait = Some(Duration::from_secs(5));
+/// Queries a keeper for the seats of its schools and prints them.
+fn print_seats(keeper: SocketAddr, json: bool) -> Result<()> {
+    let timeout = Some(Duration::from_secs(5));
     let mut stream = TcpStream::connect_timeout(&keeper, Duration::from_secs(5))
         .with_context(|| format!("the keeper at {keeper}"))?;
-    stream.set_read_timeout(wait)?;
-    stream.set_write_timeout(wait)?;
-    let mut ask = serde_json::to_vec(&Ask::Standing)?;
-    ask.push(b'\n');
-    stream.write_all(&ask)?;
+    stream.set_read_timeout(timeout)?;
+    stream.set_write_timeout(timeout)?;
+    let mut request = serde_json::to_vec(&Ask::Standing)?;
+    request.push(b'\n');
+    stream.write_all(&request)?;
     let mut line = String::new();
-    BufReader::new(stream).take(64 << 20).read_line(&mut line).context("no answer")?;
+    BufReader::new(stream).take(64 << 20).read_line(&mut line).context("no response from the keeper")?;
     if json {
         print!("{line}");
         return Ok(());
     }
-    let Tell::Standing { directors, schools } = serde_json::from_str(&line).context("its answer")? else {
-        bail!("it answers with something else: {line}");
+    let Tell::Standing { directors, schools } =
+        serde_json::from_str(&line).context("the keeper's response")?
+    else {
+        bail!("unexpected response from the keeper: {line}");
     };
     println!("{directors} directors");
     let width = schools.iter().map(|s| s.school.len()).max().unwrap_or(0).max(6);
@@ -281,56 +291,61 @@
         "school", "bought", "held", "lent", "free", "expiring"
     );
     for s in schools {
-        let (b, h, l, f, e) = (s.bought, s.held, s.lent, s.free, s.expiring);
-        println!("{:width$} {b:>8} {h:>8} {l:>8} {f:>8} {e:>8}", s.school);
+        let (bought, held, lent, free, expiring) = (s.bought, s.held, s.lent, s.free, s.expiring);
+        println!("{:width$} {bought:>8} {held:>8} {lent:>8} {free:>8} {expiring:>8}", s.school);
     }
     Ok(())
 }
 
-fn logs(form: LogForm, filter: &str) -> Result<()> {
+/// Sends log events to standard error.
+fn init_logging(format: LogFormat, filter: &str) -> Result<()> {
     let filter = EnvFilter::try_new(filter).context("--log-filter")?;
-    let out = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-    match form {
-        LogForm::Json => out.json().init(),
-        LogForm::Text => out.with_ansi(std::io::stderr().is_terminal()).init(),
+    let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    match format {
+        LogFormat::Json => builder.json().init(),
+        LogFormat::Text => builder.with_ansi(std::io::stderr().is_terminal()).init(),
     }
     Ok(())
 }
 
-/// A director's settings: all of its own, or its own part where the rest is agreed.
-enum Mine {
-    Whole(Box<Deployment>),
-    Agreed(Box<LocalSettings>),
+/// A director's settings file: complete settings, or local settings where the rest is agreed.
+enum DirectorSettings {
+    Complete(Box<Deployment>),
+    Local(Box<LocalSettings>),
 }
 
-fn mine(path: &Path) -> Result<Mine> {
-    match LocalSettings::read(path).map_err(told)? {
-        Some(own) => Ok(Mine::Agreed(Box::new(own))),
-        None => Ok(Mine::Whole(Box::new(settings(path)?))),
+fn read_director_settings(path: &Path) -> Result<DirectorSettings> {
+    match LocalSettings::read(path).map_err(join_errors)? {
+        Some(local) => Ok(DirectorSettings::Local(Box::new(local))),
+        None => Ok(DirectorSettings::Complete(Box::new(read_deployment(path)?))),
     }
 }
 
-async fn run(mine: Mine, journal: Option<PathBuf>, found: bool) -> Result<()> {
+/// Runs a director, and its voter if the settings have one, until SIGTERM, SIGINT or the director's failure. A first signal
+/// lets pending requests be answered; a second one stops at once.
+async fn run_director(settings: DirectorSettings, journal: Option<PathBuf>, found: bool) -> Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let mut voter = None;
-    let (deployment, agreed) = match mine {
-        Mine::Whole(_) if found => bail!("--found is for a process with a voter(..) in its settings"),
-        Mine::Whole(deployment) => (*deployment, None),
-        Mine::Agreed(own) => {
-            let name = own.agreement.name.clone();
-            match own.voter.clone() {
-                Some(v) => {
-                    let running = vote_at(v, found).await?;
-                    tracing::info!(address = %running.address, "a voter in this process");
+    let (deployment, agreed) = match settings {
+        DirectorSettings::Complete(_) if found => {
+            bail!("--found is for a process with a voter(..) in its settings")
+        }
+        DirectorSettings::Complete(deployment) => (*deployment, None),
+        DirectorSettings::Local(local) => {
+            let name = local.agreement.name.clone();
+            match local.voter.clone() {
+                Some(settings) => {
+                    let running = launch_voter(settings, found).await?;
+                    tracing::info!(address = %running.address, "started a voter in this process");
                     voter = Some(running);
                 }
                 None if found => bail!("--found is for a process with a voter(..) in its settings"),
                 None => {}
             }
-            tracing::info!(name, "asking the voters for the rules");
+            tracing::info!(name, "requesting the agreed rules from the voters");
             let started = tokio::select! {
-                started = Following::start(*own) => started?,
+                started = Following::start(*local) => started?,
                 _ = term.recv() => return Ok(()),
                 _ = int.recv() => return Ok(()),
             };
@@ -343,25 +358,25 @@
         .with_context(|| format!("listening on {listen}"))?;
     println!("kelpdoord listening on {}", running.address);
     std::io::stdout().flush()?;
-    let mut signal = async || {
+    let mut stop_signal = async || {
         tokio::select! {
             _ = term.recv() => {}
             _ = int.recv() => {}
         }
     };
-    // A voter that cannot write ends, and says so; the director goes on by the others.
-    let mut voted = async || match &mut voter {
+    // A voter that cannot write to its store stops with an error; the director continues with the other voters.
+    let mut voter_ended = async || match &mut voter {
         Some(v) => v.ended().await,
         None => std::future::pending().await,
     };
-    let mut by_itself = false;
+    let mut voter_failed = false;
     loop {
         tokio::select! {
-            () = signal() => break,
-            ended = running.ended() => bail!("the director ended by itself: {ended:?}"),
-            ended = voted(), if !by_itself => {
-                tracing::error!(?ended, "the voter in this process ended; the director goes on");
-                by_itself = true;
+            () = stop_signal() => break,
+            ended = running.ended() => bail!("the director stopped unexpectedly: {ended:?}"),
+            ended = voter_ended(), if !voter_failed => {
+                tracing::error!(?ended, "the voter in this process stopped unexpectedly; the director continues");
+                voter_failed = true;
             }
         }
     }
@@ -369,60 +384,64 @@
     tracing::info!(
         owed = counts.owed,
         playing = counts.playing,
-        "shutting down; a second signal ends at once"
+        "shutting down; a second signal stops at once"
     );
     running.shut_down().await;
     tokio::select! {
         ended = running.ended() => {
-            ended.map_err(|e| anyhow::anyhow!("the director did not end well: {e}"))?;
-            tracing::info!("all is answered");
+            ended.map_err(|e| anyhow::anyhow!("the director failed during shutdown: {e}"))?;
+            tracing::info!("every request is answered");
         }
-        () = signal() => bail!("ended at once by a second signal"),
+        () = stop_signal() => bail!("stopped by a second signal before every request was answered"),
     }
-    if let Some(mut voter) = voter.filter(|_| !by_itself) {
+    if let Some(mut voter) = voter.filter(|_| !voter_failed) {
         voter.shut_down().await;
-        voter.ended().await.map_err(|e| anyhow::anyhow!("the voter did not end well: {e}"))?;
+        voter.ended().await.map_err(|e| anyhow::anyhow!("the voter failed during shutdown: {e}"))?;
     }
     Ok(())
 }
 
-fn act(arguments: Arguments) -> Result<()> {
-    match arguments.what {
-        What::Serve { config, log, log_filter, journal, stay_with_stdin: stay, found, threads } => {
-            let mine = mine(&config)?;
-            logs(log, &log_filter)?;
+fn run_command(command: Command) -> Result<()> {
+    match command {
+        Command::Serve { config, log, log_filter, journal, stay_with_stdin: stay, found, threads } => {
+            let settings = read_director_settings(&config)?;
+            init_logging(log, &log_filter)?;
             if stay {
-                stay_with_stdin();
+                exit_when_stdin_closes();
             }
             let mut runtime = tokio::runtime::Builder::new_multi_thread();
-            runtime.worker_threads(threads.into()).enable_all().build()?.block_on(run(mine, journal, found))
+            runtime
+                .worker_threads(threads.into())
+                .enable_all()
+                .build()?
+                .block_on(run_director(settings, journal, found))
         }
-        What::Check { document: Some(file), json, .. } => {
-            let shared = agreed::document(&file)?.1;
+        Command::Check { document: Some(file), json, .. } => {
+            let settings = agreed::read_document(&file)?.1;
             if json {
-                println!("{}", serde_json::to_string_pretty(&shared)?);
+                println!("{}", serde_json::to_string_pretty(&settings)?);
             } else {
                 println!("{}: good", file.display());
             }
             Ok(())
         }
-        What::Check { config, json, .. } => {
+        Command::Check { config, json, .. } => {
             let config = config.context("--config is needed")?;
-            let deployment = match mine(&config)? {
-                Mine::Whole(deployment) => deployment,
-                Mine::Agreed(own) => {
+            let deployment = match read_director_settings(&config)? {
+                DirectorSettings::Complete(deployment) => deployment,
+                DirectorSettings::Local(local) => {
                     println!(
                         "{}: good, the rest is agreed by fleet {}",
                         config.display(),
-                        own.agreement.fleet
+                        local.agreement.fleet
                     );
                     return Ok(());
                 }
             };
             if let Some(tokens) = &deployment.tokens {
-                let keys = || tokens.keys.display().to_string();
-                let text = std::fs::read_to_string(&tokens.keys).with_context(keys)?;
-                KeySet::parse(&text).with_context(keys)?;
+                let path = || tokens.keys.display().to_string();
+                let text = std::fs::read_to_string(&tokens.keys).with_context(path)?;
+                KeySet::parse(&text).with_context(path)?;
             }
             if json {
                 println!("{}", serde_json::to_string_pretty(&deployment)?);
@@ -431,47 +450,48 @@
             }
             Ok(())
         }
-        What::Propose { document, how } => {
-            let voters = agreed::Voters::of(&how.config)?;
-            voters.propose(&agreed::document(&document)?.0, how.after, how.dry_run, how.sure)
+        Command::Propose { document, how } => {
+            let voters = agreed::Voters::from_config(&how.config)?;
+            voters.propose(&agreed::read_document(&document)?.0, how.after, how.dry_run, how.sure)
         }
-        What::Back { version, how } => {
-            let voters = agreed::Voters::of(&how.config)?;
-            voters.propose(&voters.content(version)?.value.text, how.after, how.dry_run, how.sure)
+        Command::Back { version, how } => {
+            let voters = agreed::Voters::from_config(&how.config)?;
+            voters.propose(&voters.fetch_version(version)?.value.text, how.after, how.dry_run, how.sure)
         }
-        What::Agreed { config, json, document } => {
-            let voters = agreed::Voters::of(&config)?;
-            if document { voters.print_document() } else { voters.show(json) }
+        Command::Agreed { config, json, document } => {
+            let voters = agreed::Voters::from_config(&config)?;
+            if document { voters.print_document() } else { voters.print_status(json) }
         }
-        What::Keeper { config, found, log, log_filter, stay_with_stdin: stay } => {
-            logs(log, &log_filter)?;
+        Command::Keeper { config, found, log, log_filter, stay_with_stdin: stay } => {
+            init_logging(log, &log_filter)?;
             if stay {
-                stay_with_stdin();
+                exit_when_stdin_closes();
             }
             let mut runtime = tokio::runtime::Builder::new_multi_thread();
-            runtime.worker_threads(1).enable_all().build()?.block_on(keep(config, found))
+            runtime.worker_threads(1).enable_all().build()?.block_on(run_keeper_command(config, found))
         }
-        What::Seats { keeper, json } => seats(keeper, json),
-        What::Platform { log_filter } => {
-            let start = StartupConfig::read(|name| std::env::var(name).ok())?;
-            logs(LogForm::Text, &log_filter)?;
-            let listen = start.listen;
-            kelpdoor_platform::run(start).with_context(|| format!("listening on {listen}"))
+        Command::Seats { keeper, json } => print_seats(keeper, json),
+        Command::Platform { log_filter } => {
+            let config = StartupConfig::read(|name| std::env::var(name).ok())?;
+            init_logging(LogFormat::Text, &log_filter)?;
+            let listen = config.listen;
+            kelpdoor_platform::run(config).with_context(|| format!("listening on {listen}"))
         }
-        What::Replay { journal, config } => {
-            let deployment = config.map(|config| settings(&config)).transpose()?;
+        Command::Replay { journal, config } => {
+            let deployment = config.map(|config| read_deployment(&config)).transpose()?;
             let file = File::open(&journal).with_context(|| journal.display().to_string())?;
             let done = journal::replay(BufReader::new(file), deployment.as_ref())?;
             println!("{} inputs, {} rounds, {} effects", done.inputs, done.rounds, done.effects);
             match done.differs {
                 None => Ok(()),
-                Some((line, what)) => bail!("line {line}: {what}"),
+                Some((line, difference)) => bail!("line {line}: {difference}"),
             }
         }
     }
 }
 
-/// The whole program.
+/// Runs the program. `arguments` starts with the program's name. Returns 2 for errors in arguments or in the platform's
+/// configuration, and 1 for all others.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let arguments = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => arguments,
@@ -480,7 +500,7 @@
             return ExitCode::from(if e.use_stderr() { 2 } else { 0 });
         }
     };
-    match act(arguments) {
+    match run_command(arguments.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("kelpdoord: {e:#}");
--- a/crates/kelpdoord/src/main.rs
+++ b/crates/kelpdoord/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: arguments, settings, logs and signals round the library.
+//! The `kelpdoord` program; see the library of the same name.
 
 use std::process::ExitCode;
 
--- a/crates/kelpdoord/tests/agreed.rs
+++ b/crates/kelpdoord/tests/agreed.rs
@@ -1,9 +1,10 @@
-//! Settings of directors that agree on their rules, as the program reads them: what all have to agree on is no setting of one.
+//! Checks of the settings of directors that agree on their rules: a setting that all directors share is rejected in the local
+//! settings of one of them. Otherwise three directors could each be configured as the first of one (`me = 0, of = 1`).
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-const OWN: &str = r#"
+const LOCAL_SETTINGS: &str = r#"
 director(zone = "east", listen = "127.0.0.1:0")
 roster(address = "127.0.0.1:1")
 agreement(voters = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"], fleet = "test", name = "a")
@@ -19,50 +20,57 @@
 
 fn write(dir: &Path, name: &str, text: &str) -> PathBuf {
     let path = dir.join(name);
-    std::fs::write(&path, text).expect("a place for it");
+    std::fs::write(&path, text).expect("the file is written");
     path
 }
 
-/// Whether it went well, and what it said.
+/// Runs the daemon on a file. Returns whether it succeeded, and its standard output or else its standard error, with the
+/// file's path replaced by `FILE`.
 fn run(arguments: &[&str], file: &Path) -> (bool, String) {
-    let out =
-        Command::new(env!("CARGO_BIN_EXE_kelpdoord")).args(arguments).arg(file).output().expect("it starts");
-    let said = if out.status.success() { out.stdout } else { out.stderr };
-    (out.status.success(), String::from_utf8_lossy(&said).replace(&file.display().to_string(), "FILE"))
+    let result = Command::new(env!("CARGO_BIN_EXE_kelpdoord"))
+        .args(arguments)
+        .arg(file)
+        .output()
+        .expect("the daemon starts");
+    let output = if result.status.success() { result.stdout } else { result.stderr };
+    (result.status.success(), String::from_utf8_lossy(&output).replace(&file.display().to_string(), "FILE"))
 }
 
 #[test]
-fn three_directors_that_all_say_they_are_the_first_do_not_start() {
+fn agreed_settings_in_local_settings_are_rejected() {
     let dir = std::env::temp_dir().join(format!("kelpdoord-agreed-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
-    let good = write(&dir, "good.star", OWN);
+    std::fs::create_dir_all(&dir).expect("the directory is created");
+    let good = write(&dir, "good.star", LOCAL_SETTINGS);
     assert_eq!(
         run(&["check", "--config"], &good),
         (true, "FILE: good, the rest is agreed by fleet test\n".into())
     );
-    let bad = write(&dir, "bad.star", &OWN.replace("director(zone", "director(me = 0, of = 1, zone"));
-    for what in ["check", "serve"] {
-        let (good, said) = run(&[what, "--config"], &bad);
-        assert!(!good, "{what} takes it");
+    let bad =
+        write(&dir, "bad.star", &LOCAL_SETTINGS.replace("director(zone", "director(me = 0, of = 1, zone"));
+    for command in ["check", "serve"] {
+        let (succeeded, output) = run(&[command, "--config"], &bad);
+        assert!(!succeeded, "{command} accepts agreed settings");
         assert_eq!(
-            said,
+            output,
             "kelpdoord: FILE:2:1: director: me is agreed, it is no setting of one director\n\
              FILE:2:1: director: of is agreed, it is no setting of one director\n"
         );
     }
-    let mixed = write(&dir, "mixed.star", &format!("{OWN}further(free = 9, per_taken = 1, span = 1)\n"));
-    let (_, said) = run(&["check", "--config"], &mixed);
-    assert_eq!(said, "kelpdoord: FILE:5:1: further is agreed, it is no setting of one director\n");
-    let still = write(&dir, "still.star", &OWN.replace("name = \"a\"", "name = \"a\", clock_rate = 0"));
-    let (_, said) = run(&["check", "--config"], &still);
-    assert_eq!(said, "kelpdoord: FILE:4:1: agreement: clock_rate from 0.95 to 1.05\n");
+    let mixed =
+        write(&dir, "mixed.star", &format!("{LOCAL_SETTINGS}further(free = 9, per_taken = 1, span = 1)\n"));
+    let (_, output) = run(&["check", "--config"], &mixed);
+    assert_eq!(output, "kelpdoord: FILE:5:1: further is agreed, it is no setting of one director\n");
+    let stopped_clock =
+        write(&dir, "still.star", &LOCAL_SETTINGS.replace("name = \"a\"", "name = \"a\", clock_rate = 0"));
+    let (_, output) = run(&["check", "--config"], &stopped_clock);
+    assert_eq!(output, "kelpdoord: FILE:4:1: agreement: clock_rate from 0.95 to 1.05\n");
     let seats = write(
         &dir,
         "seats.star",
         &DOCUMENT.replace("\"b\", \"a\"", "\"b\"").replacen('\n', "\nkeeper()\n", 1),
     );
-    let (_, said) = run(&["check", "--document"], &seats);
-    assert_eq!(said, "kelpdoord: FILE:2:1: keeper: address: directors that share rules share one keeper\n");
+    let (_, output) = run(&["check", "--document"], &seats);
+    assert_eq!(output, "kelpdoord: FILE:2:1: keeper: address: directors that share rules share one keeper\n");
     let document = write(&dir, "document.star", DOCUMENT);
     assert_eq!(
         run(&["check", "--document"], &document),
@@ -70,12 +78,14 @@
     );
     let document = write(&dir, "document.star", &DOCUMENT.replace("\"b\", \"a\"", "\"b\""));
     assert_eq!(run(&["check", "--document"], &document), (true, "FILE: good\n".into()));
-    // No voter is there: said, each by its place.
+    // No voter is reachable: the error names each of them by its address.
     let config = format!("--config={}", good.display());
-    let (good, said) = run(&["propose", "--after=0", &config], &document);
+    let (succeeded, output) = run(&["propose", "--after=0", &config], &document);
     assert!(
-        !good && said.contains("not agreed, as far as is known") && said.contains("voter 2 at 127.0.0.1:3"),
-        "{said}"
+        !succeeded
+            && output.contains("the proposal is not known to be agreed")
+            && output.contains("voter 2 at 127.0.0.1:3"),
+        "{output}"
     );
-    std::fs::remove_dir_all(&dir).expect("it is there");
+    std::fs::remove_dir_all(&dir).expect("the directory is removed");
 }
