--- a/crates/kelpdoord/tests/platform/mod.rs
+++ b/crates/kelpdoord/tests/platform/mod.rs
@@ -1,8 +1,8 @@
-//! The program on its platform, on real connections: media nodes, a change log and viewers that the test plays by hand. The
-//! order of what lies in the program's sockets is made by a gate: the process is stopped, what is to lie there is written,
-//! and it goes on. Nothing is decided by waiting for a while; every wait is for something, and bounded.
+//! A harness for the program on its platform, on real connections: the test controls media nodes, a change log and viewers.
+//! To control the order of what the program finds in its sockets, the harness stops the process, writes to the sockets and
+//! continues the process. No result depends on a sleep; every wait is for a condition and has a timeout.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "not every test file uses all of it")]
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -19,29 +19,29 @@
 use serde_json::{Value, json};
 use socket2::{Domain, SockRef, Socket, Type};
 
-/// Whatever is waited for comes within this, or the test fails.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout of every wait; the test fails after it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Sessions from here on are answered by nodes without being told; those of fences from twice as far.
-pub const FENCE: u64 = 1 << 40;
+/// Nodes answer sessions with this id or a higher one automatically. The ids of barriers start at twice this value.
+pub const AUTO_ANSWERED: u64 = 1 << 40;
 
-/// What a node's connection did.
+/// What happened on a connection to a node.
 #[derive(Debug)]
-pub enum Got {
-    Up,
-    Said(Message),
+pub enum NodeEventKind {
+    Connected,
+    Received(Message),
     Closed,
 }
 
 #[derive(Debug)]
-pub struct Heard {
+pub struct NodeEvent {
     pub node: usize,
     pub conn: usize,
-    pub got: Got,
+    pub kind: NodeEventKind,
 }
 
 /// A SETUP that reached a node.
@@ -54,53 +54,53 @@
 
 struct Node {
     address: SocketAddr,
-    /// Connections that came, each as long as the test keeps it.
+    /// Accepted connections; `None` once the test has closed one.
     conns: Arc<Mutex<Vec<Option<TcpStream>>>>,
-    /// Holds newcomers off: nobody takes connections from the listener, whose line is full.
-    held: Option<(TcpListener, Vec<TcpStream>)>,
+    /// Set while the node is unreachable: a listener with a full backlog that nobody accepts from, and what fills it.
+    blocked: Option<(TcpListener, Vec<TcpStream>)>,
 }
 
 #[derive(Default)]
-struct FeedState {
+struct ChangeLogState {
     events: Vec<String>,
-    /// Streams that opened so far, and what each asked to hear from.
-    asked: Vec<u64>,
-    /// Streams opened before this one say nothing more.
-    mute_below: usize,
-    /// New streams are closed at once.
+    /// The last event id in the request of each stream opened so far.
+    requests: Vec<u64>,
+    /// Number of streams, counted from the first, that send nothing more.
+    silent_streams: usize,
+    /// Every stream is closed.
     down: bool,
-    /// Streams opened before this one write these bytes and are closed.
-    break_below: usize,
-    last_words: Vec<u8>,
+    /// Number of streams, counted from the first, that send `final_bytes` and are closed.
+    ended_streams: usize,
+    final_bytes: Vec<u8>,
 }
 
-/// The change log.
+/// A server of the change log, as an event stream over HTTP.
 #[derive(Clone)]
-pub struct Feed {
+pub struct ChangeLog {
     pub address: SocketAddr,
-    state: Arc<(Mutex<FeedState>, Condvar)>,
+    state: Arc<(Mutex<ChangeLogState>, Condvar)>,
 }
 
-impl Feed {
+impl ChangeLog {
     pub fn new() -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-        let feed = Feed { address: listener.local_addr().expect("bound"), state: Arc::default() };
-        let me = feed.clone();
+        let change_log = ChangeLog { address: listener.local_addr().expect("bound"), state: Arc::default() };
+        let server = change_log.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let me = me.clone();
-                std::thread::spawn(move || me.stream(stream));
+                let server = server.clone();
+                std::thread::spawn(move || server.serve_stream(stream));
             }
         });
-        feed
+        change_log
     }
 
-    fn change(&self, f: impl FnOnce(&mut FeedState)) {
+    fn update(&self, f: impl FnOnce(&mut ChangeLogState)) {
         f(&mut lock(&self.state.0));
         self.state.1.notify_all();
     }
 
-    fn stream(&self, mut stream: TcpStream) -> Option<()> {
+    fn serve_stream(&self, mut stream: TcpStream) -> Option<()> {
         let mut head = String::new();
         let mut reader = BufReader::new(stream.try_clone().ok()?);
         while !head.ends_with("\r\n\r\n") {
@@ -108,15 +108,15 @@
                 return None;
             }
         }
-        let last = head
+        let last_event_id = head
             .lines()
             .find_map(|l| l.to_ascii_lowercase().strip_prefix("last-event-id:")?.trim().parse().ok());
-        let mut from: u64 = last?;
-        let mut said = false;
+        let mut from: u64 = last_event_id?;
+        let mut headers_sent = false;
         let mut number = 0;
-        self.change(|s| {
-            s.asked.push(from);
-            number = s.asked.len();
+        self.update(|s| {
+            s.requests.push(from);
+            number = s.requests.len();
         });
         loop {
             let mut text = Vec::new();
@@ -125,18 +125,18 @@
                 if s.down {
                     return None;
                 }
-                if !said {
+                if !headers_sent {
                     text.extend_from_slice(
                         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n",
                     );
-                    said = true;
+                    headers_sent = true;
                 }
-                if number <= s.break_below {
-                    text.extend_from_slice(&s.last_words);
+                if number <= s.ended_streams {
+                    text.extend_from_slice(&s.final_bytes);
                     let _ = stream.write_all(&text);
                     return None;
                 }
-                if number > s.mute_below {
+                if number > s.silent_streams {
                     for (n, event) in (1u64..).zip(&s.events).filter(|(n, _)| *n > from) {
                         text.extend_from_slice(format!("id: {n}\ndata: {event}\n\n").as_bytes());
                     }
@@ -152,56 +152,58 @@
         }
     }
 
-    /// Tells something of hosts, as lines of JSON.
-    pub fn tell(&self, hosts: &[Value]) {
-        self.change(|s| {
+    /// Publishes an event with entries of hosts; see [`host_entry`].
+    pub fn publish(&self, hosts: &[Value]) {
+        self.update(|s| {
             let n = s.events.len() + 1;
             s.events.push(json!({"seq": n, "fleet": {"seq": n, "whole": false, "hosts": hosts}}).to_string());
         });
     }
 
-    /// What is open stays so, and is silent.
-    pub fn mute(&self) {
-        self.change(|s| s.mute_below = s.asked.len());
+    /// Keeps the open streams open and sends nothing more on them.
+    pub fn silence(&self) {
+        self.update(|s| s.silent_streams = s.requests.len());
     }
 
-    pub fn down(&self, down: bool) {
-        self.change(|s| s.down = down);
+    pub fn set_down(&self, down: bool) {
+        self.update(|s| s.down = down);
     }
 
-    /// Every open stream breaks off after these bytes.
-    pub fn break_off(&self, words: &[u8]) {
-        self.change(|s| {
-            s.break_below = s.asked.len();
-            s.last_words = words.to_vec();
+    /// Sends these bytes on every open stream and closes it.
+    pub fn end_streams_with(&self, bytes: &[u8]) {
+        self.update(|s| {
+            s.ended_streams = s.requests.len();
+            s.final_bytes = bytes.to_vec();
         });
     }
 
-    /// Waits until so many streams were opened, and tells from which number each asked.
-    pub fn asked(&self, times: usize) -> Vec<u64> {
+    /// Waits until that many streams were opened, and returns the last event id in the request of each.
+    pub fn wait_for_requests(&self, count: usize) -> Vec<u64> {
         let (state, changed) = &*self.state;
         let s = lock(state);
         let (s, _) = changed
-            .wait_timeout_while(s, PATIENCE, |s| s.asked.len() < times)
+            .wait_timeout_while(s, WAIT_TIMEOUT, |s| s.requests.len() < count)
             .unwrap_or_else(PoisonError::into_inner);
-        assert!(s.asked.len() >= times, "the change log was asked {} times, not {times}", s.asked.len());
-        s.asked.clone()
+        assert!(s.requests.len() >= count, "the change log had {} requests, not {count}", s.requests.len());
+        s.requests.clone()
     }
 }
 
 /// One director with its nodes.
-pub struct Stage {
+pub struct Harness {
     nodes: Vec<Node>,
-    heard: Receiver<Heard>,
-    to: Sender<Heard>,
-    pub seen: Vec<Setup>,
-    /// Of them, those that nobody asked for yet.
-    news: Vec<Setup>,
-    torn_news: Vec<(usize, u64)>,
-    fences: u64,
-    /// Releases and set-ups given up that reached nodes.
-    pub torn: Vec<(usize, u64)>,
-    pub feed: Feed,
+    events: Receiver<NodeEvent>,
+    event_sender: Sender<NodeEvent>,
+    /// SETUPs that reached nodes.
+    pub setups: Vec<Setup>,
+    /// SETUPs that no test has taken with [`next_setup`](Self::next_setup) yet.
+    new_setups: Vec<Setup>,
+    /// TEARDOWNs that no test has taken with [`next_teardown`](Self::next_teardown) yet.
+    new_teardowns: Vec<(usize, u64)>,
+    barriers: u64,
+    /// TEARDOWNs that reached nodes, for active sessions and pending set-ups, as pairs of node and session.
+    pub teardowns: Vec<(usize, u64)>,
+    pub change_log: ChangeLog,
     child: Child,
     pub port: u16,
     log: Arc<Mutex<String>>,
@@ -209,7 +211,7 @@
     config: Value,
 }
 
-/// What the settings are, to be changed by a test.
+/// Default settings of the director, for tests to modify.
 pub fn settings(nodes: usize) -> Value {
     let class = |name: &str, repeat: &str, window: f64| {
         json!({"credit": 1.0, "name": name, "promiseMs": 1500.0, "deadlineMs": 4000.0, "repeat": repeat, "keyScope": "all",
@@ -221,7 +223,7 @@
         "feedback": {"fields": ["inflight", "x0"], "how": "piggyback"},
         "kinds": ["box"], "me": 0, "siblings": 1, "zone": 0, "zones": ["one"],
         "profiles": [class("open", "safe", 0.0), class("once", "unsafe", 0.0), class("soon", "keyed", 400.0)],
-        // No pace to speak of: a director that just started takes its nodes for cold.
+        // The warm-up limits are lax, as a director that just started takes its nodes for cold.
         "rules": {"coldFrom": 0.9, "drainGraceMs": 300.0, "fallMs": 0.0, "tipMultiple": 4.0, "warmWithinMs": 1000.0},
         "specifics": {"cells": nodes, "highestRung": [4, 4, 4], "levelWorth": [0.2, 0.42, 0.62, 0.82, 1.0],
             "linkUnitKb": 1_908_000.0, "lowestRung": [0, 0, 0], "placesByKind": [2000.0], "rackKb": 20_000_000.0, "racks": 1,
@@ -230,68 +232,72 @@
     })
 }
 
-pub fn host(n: usize, address: SocketAddr, health: &str) -> Value {
+/// Returns the change log's entry of a host.
+pub fn host_entry(n: usize, address: SocketAddr, health: &str) -> Value {
     json!({"host": format!("s-{n}"), "dial": address.to_string(), "site": "one", "class": "box", "block": n, "health": health,
         "share": 1, "born_ms": 0})
 }
 
-/// The program to test: this build's, or another's, to see a test fail there.
+/// Returns the program to test: this build's, or the one in `KELPDOORD`, to check that a test fails with another build.
 fn program() -> String {
     std::env::var("KELPDOORD").unwrap_or_else(|_| env!("CARGO_BIN_EXE_kelpdoord").to_owned())
 }
 
-impl Stage {
+impl Harness {
     pub fn new(nodes: usize) -> Self {
         Self::with(nodes, 256, |_| {})
     }
 
-    /// A director that knows so many nodes and has so many descriptors, its settings changed.
+    /// Starts a director with that many nodes and descriptors, and with modified settings.
     pub fn with(nodes: usize, sockets: u64, change: impl FnOnce(&mut Value)) -> Self {
         let mut settings = settings(nodes);
         change(&mut settings);
-        Self::started(nodes, sockets, &[], &settings, Feed::new())
+        Self::start(nodes, sockets, &[], &settings, ChangeLog::new())
     }
 
-    /// No connection to the nodes named comes up before [`let_in`](Self::let_in).
-    pub fn held(nodes: usize, held: &[usize]) -> Self {
-        Self::started(nodes, 256, held, &settings(nodes), Feed::new())
+    /// Starts a director that cannot connect to the `blocked` nodes before [`unblock`](Self::unblock).
+    pub fn with_blocked_nodes(nodes: usize, blocked: &[usize]) -> Self {
+        Self::start(nodes, 256, blocked, &settings(nodes), ChangeLog::new())
     }
 
-    pub fn started(nodes: usize, sockets: u64, held: &[usize], settings: &Value, feed: Feed) -> Self {
-        let (to, heard) = channel();
+    pub fn start(
+        nodes: usize, sockets: u64, blocked: &[usize], settings: &Value, change_log: ChangeLog,
+    ) -> Self {
+        let (event_sender, events) = channel();
         let mut all = Vec::new();
         for n in 0..nodes {
-            if held.contains(&n) {
-                all.push(full());
+            if blocked.contains(&n) {
+                all.push(start_blocked_node());
                 continue;
             }
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
             let node =
-                Node { address: listener.local_addr().expect("bound"), conns: Arc::default(), held: None };
-            listen(n, listener, node.conns.clone(), to.clone());
+                Node { address: listener.local_addr().expect("bound"), conns: Arc::default(), blocked: None };
+            accept_connections(n, listener, node.conns.clone(), event_sender.clone());
             all.push(node);
         }
-        let hosts: Vec<Value> = all.iter().enumerate().map(|(n, node)| host(n, node.address, "up")).collect();
-        feed.tell(&hosts);
-        let first: Value = serde_json::from_str(&lock(&feed.state.0).events[0]).expect("JSON");
+        let hosts: Vec<Value> =
+            all.iter().enumerate().map(|(n, node)| host_entry(n, node.address, "up")).collect();
+        change_log.publish(&hosts);
+        let first: Value = serde_json::from_str(&lock(&change_log.state.0).events[0]).expect("JSON");
         let port =
             TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|l| l.local_addr()).expect("a port").port();
         let config = json!({"name": "n0", "listen": format!("127.0.0.1:{port}"), "seed": "7", "settings": settings,
-            "limits": {"cores": 1.0, "memory_mb": 32, "sockets": sockets}, "changelog": feed.address.to_string(),
+            "limits": {"cores": 1.0, "memory_mb": 32, "sockets": sockets}, "changelog": change_log.address.to_string(),
             "known": {"seq": 1, "results": [first]}});
         let file = std::env::temp_dir().join(format!("kelpdoord-{}-{port}.json", std::process::id()));
-        std::fs::write(&file, config.to_string()).expect("a place for it");
-        let (child, log) = run(&file);
-        Stage {
+        std::fs::write(&file, config.to_string()).expect("the file is written");
+        let (child, log) = spawn_daemon(&file);
+        Harness {
             nodes: all,
-            heard,
-            to,
-            seen: Vec::new(),
-            news: Vec::new(),
-            torn_news: Vec::new(),
-            fences: 0,
-            torn: Vec::new(),
-            feed,
+            events,
+            event_sender,
+            setups: Vec::new(),
+            new_setups: Vec::new(),
+            new_teardowns: Vec::new(),
+            barriers: 0,
+            teardowns: Vec::new(),
+            change_log,
             child,
             port,
             log,
@@ -300,11 +306,11 @@
         }
     }
 
-    /// Killed, and started again with what it knew first.
-    pub fn start_again(&mut self) {
+    /// Kills the process and starts it again with the same configuration.
+    pub fn restart(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        (self.child, self.log) = run(&self.file);
+        (self.child, self.log) = spawn_daemon(&self.file);
     }
 
     pub fn log(&self) -> String {
@@ -316,20 +322,20 @@
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill(self.pid(), signal).expect("the process is there");
+        kill(self.pid(), signal).expect("the process exists");
     }
 
-    /// Does something while the process stands still, so that it finds all of it at once.
+    /// Calls `f` while the process is stopped, so that the process finds all its effects at once.
     pub fn while_stopped<R>(&mut self, f: impl FnOnce(&mut Self) -> R) -> R {
         self.signal(Signal::SIGSTOP);
         let stat = format!("/proc/{}/stat", self.child.id());
-        let began = Instant::now();
+        let start = Instant::now();
         loop {
-            let text = std::fs::read_to_string(&stat).expect("the process is there");
+            let text = std::fs::read_to_string(&stat).expect("the process exists");
             if text.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T')) {
                 break;
             }
-            assert!(began.elapsed() < PATIENCE, "it does not stop");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "the process does not stop");
             std::thread::yield_now();
         }
         let r = f(self);
@@ -337,8 +343,8 @@
         r
     }
 
-    /// Lets time go by that the protocol counts, as a viewer's.
-    pub fn age(ms: u64) {
+    /// Waits until that much time has passed, for the protocol's timeouts.
+    pub fn elapse(ms: u64) {
         let until = Instant::now() + Duration::from_millis(ms);
         while Instant::now() < until {
             std::thread::park_timeout(until - Instant::now());
@@ -353,87 +359,96 @@
         self.nodes[node].address
     }
 
-    /// The change log moves; the old one goes on until it is told otherwise.
-    pub fn move_feed(&mut self, to: &Feed) {
+    /// Configures another change log; the process reads it at SIGHUP. The old one keeps running.
+    pub fn move_change_log(&mut self, to: &ChangeLog) {
         self.config["changelog"] = json!(to.address.to_string());
         std::fs::write(&self.file, self.config.to_string()).expect("written");
     }
 
-    fn take(&mut self, heard: &Heard) {
-        let Got::Said(Message::Request(r)) = &heard.got else { return };
-        let Some(id) = id_of(&r.headers) else { return };
+    /// Records a SETUP or a TEARDOWN.
+    fn record(&mut self, event: &NodeEvent) {
+        let NodeEventKind::Received(Message::Request(r)) = &event.kind else { return };
+        let Some(id) = session_id(&r.headers) else { return };
         match r.method {
             Method::Setup => {
-                let setup = Setup { node: heard.node, conn: heard.conn, id };
-                self.seen.push(setup.clone());
-                self.news.push(setup);
+                let setup = Setup { node: event.node, conn: event.conn, id };
+                self.setups.push(setup.clone());
+                self.new_setups.push(setup);
             }
             Method::Teardown => {
-                self.torn.push((heard.node, id));
-                self.torn_news.push((heard.node, id));
+                self.teardowns.push((event.node, id));
+                self.new_teardowns.push((event.node, id));
             }
             _ => {}
         }
     }
 
-    pub fn wait(&mut self, what: &str, mut until: impl FnMut(&Heard) -> bool) -> Heard {
-        let end = Instant::now() + PATIENCE;
+    /// Waits for an event that `matches` accepts; `expected` names it in the panic message.
+    pub fn wait_for(&mut self, expected: &str, mut matches: impl FnMut(&NodeEvent) -> bool) -> NodeEvent {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            let heard =
-                self.heard.recv_timeout(left).unwrap_or_else(|_| panic!("{what}: not seen\n{}", self.log()));
-            self.take(&heard);
-            if until(&heard) {
-                return heard;
+            let left = deadline.saturating_duration_since(Instant::now());
+            let event = self
+                .events
+                .recv_timeout(left)
+                .unwrap_or_else(|_| panic!("{expected}: not seen\n{}", self.log()));
+            self.record(&event);
+            if matches(&event) {
+                return event;
             }
         }
     }
 
-    /// The next SETUP of a session.
-    pub fn setup_of(&mut self, id: u64) -> Setup {
+    /// Waits for the next SETUP of a session.
+    pub fn next_setup(&mut self, id: u64) -> Setup {
         loop {
-            if let Some(at) = self.news.iter().position(|s| s.id == id) {
-                return self.news.remove(at);
+            if let Some(index) = self.new_setups.iter().position(|s| s.id == id) {
+                return self.new_setups.remove(index);
             }
-            self.wait(&format!("a SETUP of {id}"), |h| matches!(h.got, Got::Said(_)));
+            self.wait_for(&format!("a SETUP of {id}"), |event| {
+                matches!(event.kind, NodeEventKind::Received(_))
+            });
         }
     }
 
-    /// The node of the next release or giving up of a session.
-    pub fn torn_of(&mut self, id: u64) -> usize {
+    /// Waits for the next TEARDOWN of a session and returns its node.
+    pub fn next_teardown(&mut self, id: u64) -> usize {
         loop {
-            if let Some(at) = self.torn_news.iter().position(|t| t.1 == id) {
-                return self.torn_news.remove(at).0;
+            if let Some(index) = self.new_teardowns.iter().position(|t| t.1 == id) {
+                return self.new_teardowns.remove(index).0;
             }
-            self.wait(&format!("a TEARDOWN of {id}"), |h| matches!(h.got, Got::Said(_)));
+            self.wait_for(&format!("a TEARDOWN of {id}"), |event| {
+                matches!(event.kind, NodeEventKind::Received(_))
+            });
         }
     }
 
-    pub fn setups_of(&self, id: u64) -> usize {
-        self.seen.iter().filter(|s| s.id == id).count()
+    pub fn setup_count(&self, id: u64) -> usize {
+        self.setups.iter().filter(|s| s.id == id).count()
     }
 
-    /// Bytes on a node's connection.
+    /// Writes bytes on a node's connection, if it is still open.
     pub fn write(&self, node: usize, conn: usize, bytes: &[u8]) {
         if let Some(Some(stream)) = lock(&self.nodes[node].conns).get_mut(conn) {
             let _ = stream.write_all(bytes);
         }
     }
 
-    pub fn serves(&self, s: &Setup) {
-        self.write(s.node, s.conn, &answer(s.id, 200));
+    /// Answers a SETUP with status 200.
+    pub fn accept_setup(&self, setup: &Setup) {
+        self.write(setup.node, setup.conn, &setup_response(setup.id, 200));
     }
 
-    pub fn refuses(&self, s: &Setup, status: u16) {
-        self.write(s.node, s.conn, &answer(s.id, status));
+    pub fn refuse_setup(&self, setup: &Setup, status: u16) {
+        self.write(setup.node, setup.conn, &setup_response(setup.id, status));
     }
 
-    /// The session has come to its end.
-    pub fn ends(&self, s: &Setup) {
-        self.write(s.node, s.conn, &release(s.id, 16));
+    /// Reports a session's regular end from its node.
+    pub fn end_session(&self, setup: &Setup) {
+        self.write(setup.node, setup.conn, &release_request(setup.id, 16));
     }
 
-    /// A node closes a connection, with a reset or with an end.
+    /// Closes a node's connection, with a reset or in an orderly way.
     pub fn close(&self, node: usize, conn: usize, reset: bool) {
         if let Some(stream) = lock(&self.nodes[node].conns)[conn].take() {
             if reset {
@@ -446,70 +461,70 @@
         }
     }
 
-    /// Connections come up again, those that were held off too.
-    pub fn let_in(&mut self, node: usize) {
-        let (listener, waiting) = self.nodes[node].held.take().expect("it was held");
+    /// Lets a blocked node accept connections, including those that the director already tries to open.
+    pub fn unblock(&mut self, node: usize) {
+        let (listener, waiting) = self.nodes[node].blocked.take().expect("the node was blocked");
         for _ in 0..waiting.len() {
             drop(listener.accept());
         }
         drop(waiting);
-        listen(node, listener, self.nodes[node].conns.clone(), self.to.clone());
+        accept_connections(node, listener, self.nodes[node].conns.clone(), self.event_sender.clone());
     }
 
-    /// Where a node is told to be now, and in which state.
-    pub fn line(&self, node: usize, health: &str) -> Value {
-        host(node, self.nodes[node].address, health)
+    /// Returns the change log's entry of a node, with the given health.
+    pub fn host_entry(&self, node: usize, health: &str) -> Value {
+        host_entry(node, self.nodes[node].address, health)
     }
 
-    /// A new node listens where another did.
-    pub fn replace(&mut self, old: usize) -> usize {
-        let (conns, held) = (Arc::default(), self.nodes[old].held.take());
-        self.nodes.push(Node { address: self.nodes[old].address, conns, held });
+    /// Adds a node that takes over another's address, and returns its number.
+    pub fn replace_node(&mut self, old: usize) -> usize {
+        let (conns, blocked) = (Arc::default(), self.nodes[old].blocked.take());
+        self.nodes.push(Node { address: self.nodes[old].address, conns, blocked });
         self.nodes.len() - 1
     }
 
-    /// Plays a usual session through, as a fence: what was to happen before it has happened by then. Its node answers by
-    /// itself; where the director refuses it for now it is asked for again.
-    pub fn fence(&mut self) {
+    /// Runs a complete regular session as a barrier: the effects of everything before it have happened by its end. Its node
+    /// answers automatically; the session is requested again while the director refuses it.
+    pub fn barrier(&mut self) {
         let mut viewer = self.viewer();
         for _ in 0..200 {
-            self.fences += 1;
-            let id = 2 * FENCE + self.fences;
+            self.barriers += 1;
+            let id = 2 * AUTO_ANSWERED + self.barriers;
             viewer.start_anywhere(id, "open", self.nodes.len());
-            let v = viewer.about(id).expect("an answer");
+            let v = viewer.next_message(id).expect("an answer");
             if v["verb"] == "STARTED" {
                 break;
             }
             assert_eq!(v["rc"], 42, "{v}");
-            Self::age(50);
+            Self::elapse(50);
         }
-        while let Ok(heard) = self.heard.recv_timeout(Duration::from_millis(30)) {
-            self.take(&heard);
+        while let Ok(event) = self.events.recv_timeout(Duration::from_millis(30)) {
+            self.record(&event);
         }
     }
 
-    /// Waits for the process to end.
-    pub fn ended(&mut self) -> ExitStatus {
-        let began = Instant::now();
+    /// Waits for the process to exit.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status;
             }
-            assert!(began.elapsed() < PATIENCE, "it does not end\n{}", self.log());
+            assert!(start.elapsed() < WAIT_TIMEOUT, "the process does not exit\n{}", self.log());
             std::thread::park_timeout(Duration::from_millis(2));
         }
     }
 
-    pub fn is_over(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_some()
     }
 
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 }
 
-impl Drop for Stage {
+impl Drop for Harness {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -517,7 +532,8 @@
     }
 }
 
-fn run(file: &PathBuf) -> (Child, Arc<Mutex<String>>) {
+/// Starts the program and waits until it logs that it started. Returns the process and its log so far.
+fn spawn_daemon(file: &PathBuf) -> (Child, Arc<Mutex<String>>) {
     let mut child = Command::new(program())
         .args(["platform", "--log-filter", "debug"])
         .env("PROXY_CONFIG", file)
@@ -529,24 +545,26 @@
         .spawn()
         .expect("the program starts");
     let log = Arc::new(Mutex::new(String::new()));
-    let (kept, said) = (log.clone(), child.stderr.take().expect("piped"));
-    let (up, started) = channel();
+    let (shared_log, stderr) = (log.clone(), child.stderr.take().expect("piped"));
+    let (sender, started) = channel();
     std::thread::spawn(move || {
-        for line in BufReader::new(said).lines().map_while(Result::ok) {
+        for line in BufReader::new(stderr).lines().map_while(Result::ok) {
             if line.contains("started") {
-                let _ = up.send(());
+                let _ = sender.send(());
             }
-            let mut log = lock(&kept);
+            let mut log = lock(&shared_log);
             log.push_str(&line);
             log.push('\n');
         }
     });
-    started.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("it does not start: {}", lock(&log)));
+    started
+        .recv_timeout(WAIT_TIMEOUT)
+        .unwrap_or_else(|_| panic!("the program does not start: {}", lock(&log)));
     (child, log)
 }
 
-/// A node whose line of newcomers is full: the system passes over what asks for a connection, and asks again by itself.
-fn full() -> Node {
+/// Starts a node whose listen backlog is full: the kernel drops connection requests and retransmits them later.
+fn start_blocked_node() -> Node {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("a port");
     socket.listen(0).expect("listens");
@@ -555,28 +573,30 @@
     let mut waiting = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(60)) {
         waiting.push(stream);
-        assert!(waiting.len() < 8, "its line is never full");
+        assert!(waiting.len() < 8, "the backlog never fills up");
     }
-    Node { address, conns: Arc::default(), held: Some((listener, waiting)) }
+    Node { address, conns: Arc::default(), blocked: Some((listener, waiting)) }
 }
 
-fn listen(node: usize, listener: TcpListener, conns: Arc<Mutex<Vec<Option<TcpStream>>>>, to: Sender<Heard>) {
+fn accept_connections(
+    node: usize, listener: TcpListener, conns: Arc<Mutex<Vec<Option<TcpStream>>>>, events: Sender<NodeEvent>,
+) {
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let Ok(reading) = stream.try_clone() else { return };
+            let Ok(reader) = stream.try_clone() else { return };
             let conn = {
                 let mut conns = lock(&conns);
                 conns.push(Some(stream));
                 conns.len() - 1
             };
-            let to = to.clone();
-            std::thread::spawn(move || read_node(node, conn, reading, &to));
+            let events = events.clone();
+            std::thread::spawn(move || read_connection(node, conn, reader, &events));
         }
     });
 }
 
-fn read_node(node: usize, conn: usize, mut stream: TcpStream, to: &Sender<Heard>) {
-    let _ = to.send(Heard { node, conn, got: Got::Up });
+fn read_connection(node: usize, conn: usize, mut stream: TcpStream, events: &Sender<NodeEvent>) {
+    let _ = events.send(NodeEvent { node, conn, kind: NodeEventKind::Connected });
     let (mut buf, mut chunk) = (Vec::new(), [0; 4096]);
     while let Ok(n) = stream.read(&mut chunk) {
         if n == 0 {
@@ -587,52 +607,53 @@
             buf.drain(..len);
             if let Message::Request(r) = &message
                 && r.method == Method::Setup
-                && let Some(id) = id_of(&r.headers).filter(|id| *id >= FENCE)
+                && let Some(id) = session_id(&r.headers).filter(|id| *id >= AUTO_ANSWERED)
             {
-                let _ = stream.write_all(&answer(id, 200));
+                let _ = stream.write_all(&setup_response(id, 200));
             }
-            let _ = to.send(Heard { node, conn, got: Got::Said(message) });
+            let _ = events.send(NodeEvent { node, conn, kind: NodeEventKind::Received(message) });
         }
     }
     drop(stream);
-    let _ = to.send(Heard { node, conn, got: Got::Closed });
+    let _ = events.send(NodeEvent { node, conn, kind: NodeEventKind::Closed });
 }
 
-fn id_of(headers: &Headers) -> Option<u64> {
+fn session_id(headers: &Headers) -> Option<u64> {
     u64::from_str_radix(headers.get("Session")?, 16).ok()
 }
 
-pub fn tag(id: u64) -> String {
+/// Returns the platform's tag of a session.
+pub fn format_tag(id: u64) -> String {
     format!("{id:016x}")
 }
 
-fn bytes(message: impl Into<Message>) -> Vec<u8> {
+fn encode(message: impl Into<Message>) -> Vec<u8> {
     let mut out = Vec::new();
     message.into().write_as(Version::V1, &mut out);
     out
 }
 
-/// A node's release of a session.
-pub fn release(id: u64, cause: u32) -> Vec<u8> {
-    let release = Request::new(Method::Teardown, "rtsp://media/over", 2);
-    bytes(release.with("Session", tag(id)).with("Reason", format!("cause={cause}")))
+/// Returns a node's TEARDOWN that reports a session's end.
+pub fn release_request(id: u64, cause: u32) -> Vec<u8> {
+    let request = Request::new(Method::Teardown, "rtsp://media/over", 2);
+    encode(request.with("Session", format_tag(id)).with("Reason", format!("cause={cause}")))
 }
 
-/// A node's answer to a SETUP.
-pub fn answer(id: u64, status: u16) -> Vec<u8> {
-    let mut r = Response::new(status, 1).with("Session", tag(id));
+/// Returns a node's response to a SETUP.
+pub fn setup_response(id: u64, status: u16) -> Vec<u8> {
+    let mut response = Response::new(status, 1).with("Session", format_tag(id));
     if status == 200 {
-        r.body = format!("answer {id}").into_bytes();
+        response.body = format!("answer {id}").into_bytes();
     }
-    bytes(r)
+    encode(response)
 }
 
 pub fn start_line(id: u64, class: &str, left: u64) -> String {
-    start_with(id, class, left, "v=0")
+    start_line_with_blob(id, class, left, "v=0")
 }
 
-pub fn start_with(id: u64, class: &str, left: u64, blob: &str) -> String {
-    json!({"verb": "START", "tag": tag(id), "blob": blob, "opts": {"class": class, "left": left.to_string(), "key": "7f3a9c21e0b4d655",
+pub fn start_line_with_blob(id: u64, class: &str, left: u64, blob: &str) -> String {
+    json!({"verb": "START", "tag": format_tag(id), "blob": blob, "opts": {"class": class, "left": left.to_string(), "key": "7f3a9c21e0b4d655",
         "extras": "home:0;copies:1000;top:4"}})
     .to_string()
     .replace("copies:1000", "copies:1")
@@ -640,79 +661,80 @@
 }
 
 pub fn finish_line(id: u64) -> String {
-    json!({"verb": "FINISH", "tag": tag(id), "opts": {}, "rc": 16}).to_string() + "\n"
+    json!({"verb": "FINISH", "tag": format_tag(id), "opts": {}, "rc": 16}).to_string() + "\n"
 }
 
-/// A viewers' connection.
+/// A connection of a viewer.
 pub struct Viewer {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
-    /// What came and was not asked for yet, by session.
-    kept: BTreeMap<u64, Vec<Value>>,
+    /// Received messages that no test has taken yet, by session.
+    unread: BTreeMap<u64, Vec<Value>>,
     pub cells: usize,
 }
 
-/// How a viewer goes.
+/// How a viewer leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Going {
+pub enum Departure {
     Close,
     Reset,
     HalfClose,
     Finish,
 }
 
-impl Going {
-    pub const ALL: [Going; 4] = [Going::Close, Going::Reset, Going::HalfClose, Going::Finish];
+impl Departure {
+    pub const ALL: [Departure; 4] =
+        [Departure::Close, Departure::Reset, Departure::HalfClose, Departure::Finish];
 }
 
 impl Viewer {
     pub fn new(port: u16) -> Self {
-        Self::of(TcpStream::connect((Ipv4Addr::LOCALHOST, port)).expect("a connection"))
+        Self::from_stream(TcpStream::connect((Ipv4Addr::LOCALHOST, port)).expect("a connection"))
     }
 
-    pub fn of(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    pub fn from_stream(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream.set_nodelay(true).expect("set");
         let reader = BufReader::new(stream.try_clone().expect("the same"));
-        Viewer { stream, reader, kept: BTreeMap::new(), cells: 1 }
+        Viewer { stream, reader, unread: BTreeMap::new(), cells: 1 }
     }
 
-    /// A viewer that takes little before it reads.
-    pub fn narrow(port: u16) -> Self {
+    /// Connects with a small receive buffer, so that little arrives before the viewer reads.
+    pub fn with_small_buffer(port: u16) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(1024).expect("set");
         socket.connect(&SocketAddr::from((Ipv4Addr::LOCALHOST, port)).into()).expect("a connection");
-        Self::of(socket.into())
+        Self::from_stream(socket.into())
     }
 
-    pub fn say(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("it takes it");
+    pub fn send(&mut self, text: &str) {
+        self.stream.write_all(text.as_bytes()).expect("the connection is open");
     }
 
-    /// As [`say`](Self::say), where the other end may have closed.
-    pub fn try_say(&mut self, text: &str) -> bool {
+    /// Sends text on a connection that the peer may have closed; returns whether it succeeded.
+    pub fn try_send(&mut self, text: &str) -> bool {
         self.stream.write_all(text.as_bytes()).is_ok()
     }
 
     pub fn start(&mut self, id: u64, class: &str) {
-        self.say(&start_line(id, class, 4000));
+        self.send(&start_line(id, class, 4000));
     }
 
-    /// Any node will do, of as many.
+    /// Starts a session whose title is on all of `nodes` nodes.
     pub fn start_anywhere(&mut self, id: u64, class: &str, nodes: usize) {
-        self.say(&start_line(id, class, 4000).replace("copies:1", &format!("copies:{nodes}")));
+        self.send(&start_line(id, class, 4000).replace("copies:1", &format!("copies:{nodes}")));
     }
 
-    /// Passes two tests. An answer to a test is written before what the same round decides, so after the second all that
-    /// was decided before the first was read has been carried out.
+    /// Sends two ECHO requests and reads their responses. A round writes the response to an ECHO before its other decisions,
+    /// so by the second response, everything that was decided before the first ECHO was read has been carried out.
     pub fn echo(&mut self) {
         for _ in 0..2 {
-            self.say("{\"verb\":\"ECHO\",\"tag\":\"00000000000000aa\",\"opts\":{},\"rc\":0}\n");
-            assert_eq!(self.about(0xaa).map(|v| v["verb"].clone()), Some(json!("ECHOED")));
+            self.send("{\"verb\":\"ECHO\",\"tag\":\"00000000000000aa\",\"opts\":{},\"rc\":0}\n");
+            assert_eq!(self.next_message(0xaa).map(|v| v["verb"].clone()), Some(json!("ECHOED")));
         }
     }
 
-    fn line(&mut self) -> Option<Value> {
+    fn read_message(&mut self) -> Option<Value> {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(0) | Err(_) => None,
@@ -720,20 +742,21 @@
         }
     }
 
-    /// The next word about a session; `None` if the connection ends without one.
-    pub fn about(&mut self, id: u64) -> Option<Value> {
+    /// Returns the next message about a session; `None` if the connection ends without one.
+    pub fn next_message(&mut self, id: u64) -> Option<Value> {
         loop {
-            if let Some(kept) = self.kept.get_mut(&id).filter(|k| !k.is_empty()) {
-                return Some(kept.remove(0));
+            if let Some(messages) = self.unread.get_mut(&id).filter(|m| !m.is_empty()) {
+                return Some(messages.remove(0));
             }
-            let v = self.line()?;
-            let of = u64::from_str_radix(v["tag"].as_str().unwrap_or(""), 16).unwrap_or(0);
-            self.kept.entry(of).or_default().push(v);
+            let v = self.read_message()?;
+            let session = u64::from_str_radix(v["tag"].as_str().unwrap_or(""), 16).unwrap_or(0);
+            self.unread.entry(session).or_default().push(v);
         }
     }
 
-    pub fn served(&mut self, id: u64) {
-        let v = self.about(id).unwrap_or_else(|| panic!("{id} was not answered"));
+    /// Asserts that the next message about a session is its start.
+    pub fn expect_started(&mut self, id: u64) {
+        let v = self.next_message(id).unwrap_or_else(|| panic!("{id} was not answered"));
         assert_eq!(
             (v["verb"].as_str(), v["blob"].as_str()),
             (Some("STARTED"), Some(&*format!("answer {id}"))),
@@ -741,33 +764,34 @@
         );
     }
 
-    /// The cause of a session's refusal, failure or end.
-    pub fn finished(&mut self, id: u64) -> u64 {
-        let v = self.about(id).unwrap_or_else(|| panic!("{id} was not answered"));
+    /// Asserts that the next message about a session is its refusal, failure or end, and returns the cause.
+    pub fn expect_finish(&mut self, id: u64) -> u64 {
+        let v = self.next_message(id).unwrap_or_else(|| panic!("{id} was not answered"));
         assert_eq!(v["verb"], "FINISH", "{v}");
         v["rc"].as_u64().unwrap_or(0)
     }
 
-    /// Whether the director closes the connection without another word.
-    pub fn closed(&mut self) -> bool {
-        self.line().is_none()
+    /// Waits for the next message; returns whether the director closed the connection instead.
+    pub fn is_closed(&mut self) -> bool {
+        self.read_message().is_none()
     }
 
-    pub fn go(self, how: Going, id: u64) -> Option<Viewer> {
-        let mut me = self;
-        match how {
-            Going::Close => None,
-            Going::Reset => {
-                SockRef::from(&me.stream).set_linger(Some(Duration::ZERO)).expect("set");
+    /// Leaves in the given way. Returns the viewer if its connection stays open.
+    pub fn leave(self, departure: Departure, id: u64) -> Option<Viewer> {
+        let mut viewer = self;
+        match departure {
+            Departure::Close => None,
+            Departure::Reset => {
+                SockRef::from(&viewer.stream).set_linger(Some(Duration::ZERO)).expect("set");
                 None
             }
-            Going::HalfClose => {
-                me.stream.shutdown(Shutdown::Write).expect("open");
-                Some(me)
+            Departure::HalfClose => {
+                viewer.stream.shutdown(Shutdown::Write).expect("open");
+                Some(viewer)
             }
-            Going::Finish => {
-                me.say(&finish_line(id));
-                Some(me)
+            Departure::Finish => {
+                viewer.send(&finish_line(id));
+                Some(viewer)
             }
         }
     }
