--- a/crates/kelpdoor-benchlink/src/decode.rs
+++ b/crates/kelpdoor-benchlink/src/decode.rs
@@ -1,4 +1,4 @@
-//! From the wire's events to what the director's round holds.
+//! Decodes the wire's event records into the inputs of a director's round.
 
 use std::collections::BTreeMap;
 
@@ -10,63 +10,71 @@
     Ended, ListChange, ListedNode, LoadReport, Measurement, NewSession, Phase, Playing, SetupOutcome,
 };
 
-use crate::frame::{Bytes, EVENT, Head};
+use crate::frame::{BatchHeader, FieldReader, RECORD_SIZE};
 use kelpdoor_terms::ReportFields;
 
-const ENTRY: usize = 22;
+/// Size of an entry of a node list, in bytes.
+const LIST_ENTRY_SIZE: usize = 22;
 
-/// The process's numbered lists.
+/// The node lists received so far, by their number. They are shared by all instances.
 #[derive(Default)]
-pub struct Sheets(BTreeMap<u32, Vec<ListedNode>>);
+pub struct NodeLists(BTreeMap<u32, Vec<ListedNode>>);
 
-/// Puts one event into its instance's round.
-type Put<'a> = Box<dyn FnOnce(&mut Round, &ReportFields) + 'a>;
+/// Adds one event to its instance's round.
+type RoundUpdate<'a> = Box<dyn FnOnce(&mut Round, &ReportFields) + 'a>;
 
-pub enum Indication<'a> {
+/// A decoded event of an instance.
+pub enum Event<'a> {
     Start { seed: u64, terms: Box<Terms>, report: ReportFields },
     PowerOff,
-    Came(Put<'a>),
+    Update(RoundUpdate<'a>),
 }
 
-/// Walks a batch in order and hands each event on with its instance.
-pub fn batch(
-    head: &Head, body: &[u8], sheets: &mut Sheets, mut hand: impl FnMut(u32, Indication) -> Result<()>,
+/// Decodes a batch's records in order. Stores node lists in `lists`, and passes each other event with its instance to `handle`.
+///
+/// # Errors
+///
+/// If a record is invalid or `handle` fails; the context names the record and its code.
+pub fn decode_batch(
+    header: &BatchHeader, body: &[u8], lists: &mut NodeLists,
+    mut handle: impl FnMut(u32, Event) -> Result<()>,
 ) -> Result<()> {
-    let (records, tail) = body.split_at(head.records * EVENT);
+    let (records, tail) = body.split_at(header.records * RECORD_SIZE);
     let mut instance = None;
-    for (n, record) in records.chunks_exact(EVENT).enumerate() {
-        let r = Bytes(record);
+    for (n, record) in records.chunks_exact(RECORD_SIZE).enumerate() {
+        let r = FieldReader(record);
         let code = r.u16(0)?;
         let at = || format!("record {n}, code {code}");
         match code {
             261 => instance = Some(r.u32(2)?),
             259 => {
-                let list = sheet(&r, tail).with_context(at)?;
-                sheets.0.insert(r.u32(2)?, list);
+                let list = node_list(&r, tail).with_context(at)?;
+                lists.0.insert(r.u32(2)?, list);
             }
             _ => {
                 let instance =
                     instance.context("an event comes before any instance is named").with_context(at)?;
-                let what = event(code, &r, tail, sheets).with_context(at)?;
-                hand(instance, what).with_context(at)?;
+                let event = decode_event(code, &r, tail, lists).with_context(at)?;
+                handle(instance, event).with_context(at)?;
             }
         }
     }
     Ok(())
 }
 
-fn tail_part<'a>(r: &Bytes, field: usize, unit: usize, tail: &'a [u8]) -> Result<&'a [u8]> {
+/// Returns the part of the tail that the field at offset `field` refers to, in units of `unit` bytes.
+fn tail_part<'a>(r: &FieldReader, field: usize, unit: usize, tail: &'a [u8]) -> Result<&'a [u8]> {
     let (start, count) = (r.u32(field)? as usize, r.u32(field + 4)? as usize);
     let len = count.checked_mul(unit).context("a length is too large")?;
-    Bytes(tail).slice(start, len).context("a field points outside the tail")
+    FieldReader(tail).slice(start, len).context("a field points outside the tail")
 }
 
-fn sheet(r: &Bytes, tail: &[u8]) -> Result<Vec<ListedNode>> {
-    let entries = tail_part(r, 6, ENTRY, tail)?;
-    entries.chunks_exact(ENTRY).map(|e| listed(&Bytes(e))).collect()
+fn node_list(r: &FieldReader, tail: &[u8]) -> Result<Vec<ListedNode>> {
+    let entries = tail_part(r, 6, LIST_ENTRY_SIZE, tail)?;
+    entries.chunks_exact(LIST_ENTRY_SIZE).map(|e| list_entry(&FieldReader(e))).collect()
 }
 
-fn listed(e: &Bytes) -> Result<ListedNode> {
+fn list_entry(e: &FieldReader) -> Result<ListedNode> {
     Ok(ListedNode {
         node: NodeId(e.u32(0)?),
         zone: e.u16(4)?,
@@ -83,78 +91,78 @@
     })
 }
 
-fn came<'a>(put: impl FnOnce(&mut Round) + 'a) -> Indication<'a> {
-    Indication::Came(Box::new(|round, _| put(round)))
+fn update<'a>(apply: impl FnOnce(&mut Round) + 'a) -> Event<'a> {
+    Event::Update(Box::new(|round, _| apply(round)))
 }
 
-fn event<'a>(code: u16, r: &Bytes, tail: &[u8], sheets: &'a Sheets) -> Result<Indication<'a>> {
+fn decode_event<'a>(code: u16, r: &FieldReader, tail: &[u8], lists: &'a NodeLists) -> Result<Event<'a>> {
     Ok(match code {
         256 => {
             let (sess, node) = (new_session(r)?, NodeId(r.u32(60)?));
-            came(move |round| round.handed_over.push((sess, node)))
+            update(move |round| round.handed_over.push((sess, node)))
         }
         257 => {
             let text = tail_part(r, 10, 1, tail)?;
             let (terms, report) = kelpdoor_terms::parse_terms(text).context("the settings")?;
-            Indication::Start { seed: r.u64(2)?, terms: Box::new(terms), report }
+            Event::Start { seed: r.u64(2)?, terms: Box::new(terms), report }
         }
         258 => {
             let p = Playing { sess: SessId(r.u64(2)?), node: NodeId(r.u32(11)?), took: r.f64(15)? / 1000.0 };
-            came(move |round| round.playing.push(p))
+            update(move |round| round.playing.push(p))
         }
-        // Wake-ups carry nothing; what other directors say is read and passed over, as none is asked for.
-        260 => came(|_| ()),
+        // Wake-ups carry no data. Messages of other directors are checked and ignored, as the director requests none.
+        260 => update(|_| ()),
         262 => {
             tail_part(r, 6, 1, tail)?;
-            came(|_| ())
+            update(|_| ())
         }
         267 => {
-            let (node, outcome, load) = (NodeId(r.u32(2)?), ending(r.u8(6)?)?, gauge(r, 15)?);
-            Indication::Came(Box::new(move |round, report| {
+            let (node, outcome, load) = (NodeId(r.u32(2)?), setup_outcome(r.u8(6)?)?, load_values(r, 15)?);
+            Event::Update(Box::new(move |round, report| {
                 round.probed.push((node, outcome, report.load_report(&load)));
             }))
         }
         263 => {
             let (ended, load) = ended(r)?;
-            Indication::Came(Box::new(move |round, report| {
+            Event::Update(Box::new(move |round, report| {
                 round.ended.push(Ended { load: report.load_report(&load), ..ended });
             }))
         }
         264 => {
             let sess = SessId(r.u64(2)?);
-            came(move |round| round.departures.push(sess))
+            update(move |round| round.departures.push(sess))
         }
-        265 => Indication::PowerOff,
+        265 => Event::PowerOff,
         266 => {
             let form = r.u8(2)?;
             let entries = if form == 3 {
                 Vec::new()
             } else {
                 let number = r.u32(11)?;
-                sheets.0.get(&number).cloned().with_context(|| format!("list {number} was never given"))?
+                lists.0.get(&number).cloned().with_context(|| format!("list {number} was never given"))?
             };
             let change = match form {
                 0 => ListChange::Changed(entries),
                 1 => ListChange::Whole(entries),
                 2 => ListChange::Cached(entries),
                 3 => ListChange::Unanswered,
-                other => bail!("a list of the unknown form {other}"),
+                other => bail!("the list form {other} is unknown"),
             };
-            came(move |round| round.list_changes.push(change))
+            update(move |round| round.list_changes.push(change))
         }
         268 => {
             let sess = new_session(r)?;
-            came(move |round| round.new_sessions.push(sess))
+            update(move |round| round.new_sessions.push(sess))
         }
-        269 => match reading(r)? {
-            Some(reading) => came(move |round| round.measurements.push(reading)),
-            None => came(|_| ()),
+        269 => match measurement(r)? {
+            Some(measurement) => update(move |round| round.measurements.push(measurement)),
+            None => update(|_| ()),
         },
         other => bail!("the event code {other} is unknown"),
     })
 }
 
-fn new_session(r: &Bytes) -> Result<NewSession> {
+fn new_session(r: &FieldReader) -> Result<NewSession> {
     Ok(NewSession {
         sess: SessId(r.u64(2)?),
         group: GroupId(r.u8(10)?),
@@ -166,7 +174,8 @@
     })
 }
 
-fn reading(r: &Bytes) -> Result<Option<Measurement>> {
+/// Decodes a measurement; `None` for kinds that the director does not use.
+fn measurement(r: &FieldReader) -> Result<Option<Measurement>> {
     let (sess, value, node) = (SessId(r.u64(2)?), r.f32(10)?, NodeId(r.u32(14)?));
     Ok(match r.u8(19)? {
         1 => Some(Measurement::Delivered { node, share: value }),
@@ -177,7 +186,7 @@
     })
 }
 
-fn ending(code: u8) -> Result<SetupOutcome> {
+fn setup_outcome(code: u8) -> Result<SetupOutcome> {
     Ok(match code {
         0 => SetupOutcome::Served,
         5 => SetupOutcome::Failed,
@@ -191,19 +200,20 @@
     })
 }
 
-fn gauge(r: &Bytes, at: usize) -> Result<Vec<f64>> {
-    let values = r.u8(at)? as usize;
-    ensure!(values <= 4, "a load report of {values} values");
-    (0..values).map(|i| r.f32(at + 1 + 4 * i)).collect()
+/// Reads the values of a load report: a count at offset `at`, then up to 4 values.
+fn load_values(r: &FieldReader, at: usize) -> Result<Vec<f64>> {
+    let count = r.u8(at)? as usize;
+    ensure!(count <= 4, "a load report has {count} values, more than 4");
+    (0..count).map(|i| r.f32(at + 1 + 4 * i)).collect()
 }
 
-fn ended(r: &Bytes) -> Result<(Ended, Vec<f64>)> {
+fn ended(r: &FieldReader) -> Result<(Ended, Vec<f64>)> {
     let ended = Ended {
         sess: SessId(r.u64(2)?),
         node: NodeId(r.u32(10)?),
-        outcome: ending(r.u8(22)?)?,
+        outcome: setup_outcome(r.u8(22)?)?,
         closed: r.u8(24)? != 0,
         load: LoadReport::default(),
     };
-    Ok((ended, gauge(r, 25)?))
+    Ok((ended, load_values(r, 25)?))
 }
--- a/crates/kelpdoor-benchlink/src/encode/tests.rs
+++ b/crates/kelpdoor-benchlink/src/encode/tests.rs
@@ -2,9 +2,9 @@
 use expect_test::expect;
 
 #[test]
-fn each_order_is_one_record() {
+fn each_order_is_encoded_as_one_record() {
     let mut reply = Reply::new(9);
-    reply.open(3);
+    reply.start_instance(3);
     reply.set_rung(SessId(1), 2);
     reply.send_setup(SessId(1), NodeId(4), Some(0.25));
     reply.withdraw(SessId(1), 0);
@@ -21,9 +21,9 @@
     reply.wake_after(0.1);
     let bytes = reply.finish();
     let hex = |part: &[u8]| part.iter().map(|b| format!("{b:02x}")).collect::<String>();
-    let mut lines = vec![hex(&bytes[..HEADER])];
-    let tail = HEADER + 15 * RECORD;
-    lines.extend(bytes[HEADER..tail].chunks(RECORD).map(hex));
+    let mut lines = vec![hex(&bytes[..HEADER_SIZE])];
+    let tail = HEADER_SIZE + 15 * RECORD_SIZE;
+    lines.extend(bytes[HEADER_SIZE..tail].chunks(RECORD_SIZE).map(hex));
     lines.push(String::from_utf8_lossy(&bytes[tail..]).into_owned());
     expect![[r#"
         09000000870100000f000000
--- a/crates/kelpdoor-benchlink/src/main.rs
+++ b/crates/kelpdoor-benchlink/src/main.rs
@@ -1,4 +1,5 @@
-//! The bench's wire on standard input and output, one director for each instance.
+//! An adapter for the bench: reads batches of events on standard input, runs one director for each instance, and writes the
+//! directors' orders to standard output.
 
 mod decode;
 mod encode;
@@ -11,61 +12,67 @@
 use anyhow::{Context, Result, ensure};
 use kelpdoor::{Director, Round};
 
-use crate::decode::{Indication, Sheets};
+use crate::decode::{Event, NodeLists};
 use crate::encode::Reply;
 use kelpdoor_terms::ReportFields;
 
-/// An instance: its director, and what came in for it in the batch at hand.
-struct Seat {
+/// A director, and its inputs from the current batch.
+struct Instance {
     director: Director,
     round: Round,
     report: ReportFields,
-    groups: usize,
+    /// Number of service groups in its settings.
+    group_count: usize,
+    /// Whether the current batch has an event for it.
     touched: bool,
 }
 
 fn serve() -> Result<()> {
     let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
     let mut output = BufWriter::new(io::stdout().lock());
-    let mut seats: BTreeMap<u32, Seat> = BTreeMap::new();
-    let mut sheets = Sheets::default();
+    let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
+    let mut lists = NodeLists::default();
     let mut buf = Vec::new();
-    while let Some(head) = frame::next(&mut input, &mut buf)? {
-        let at = || format!("batch {}", head.number);
-        let now = head.clock_ms / 1000.0;
-        decode::batch(&head, &buf, &mut sheets, |instance, what| {
-            match what {
-                Indication::Start { seed, terms, report } => {
-                    let groups = terms.groups.len();
+    while let Some(header) = frame::read_batch(&mut input, &mut buf)? {
+        let at = || format!("batch {}", header.number);
+        let now = header.clock_ms / 1000.0;
+        decode::decode_batch(&header, &buf, &mut lists, |number, event| {
+            match event {
+                Event::Start { seed, terms, report } => {
+                    let group_count = terms.groups.len();
                     let director = Director::new(&terms, seed, now);
-                    let seat = Seat { director, round: Round::default(), report, groups, touched: true };
-                    seats.insert(instance, seat);
+                    let instance =
+                        Instance { director, round: Round::default(), report, group_count, touched: true };
+                    instances.insert(number, instance);
                 }
-                Indication::PowerOff => {
-                    seats.remove(&instance);
+                Event::PowerOff => {
+                    instances.remove(&number);
                 }
-                Indication::Came(put) => {
-                    let seat = seats
-                        .get_mut(&instance)
-                        .with_context(|| format!("instance {instance} was never started"))?;
-                    put(&mut seat.round, &seat.report);
-                    let handed = seat.round.handed_over.last().map(|(s, _)| s);
-                    for sess in handed.into_iter().chain(seat.round.new_sessions.last()) {
+                Event::Update(apply) => {
+                    let instance = instances
+                        .get_mut(&number)
+                        .with_context(|| format!("instance {number} was never started"))?;
+                    apply(&mut instance.round, &instance.report);
+                    let handed_over = instance.round.handed_over.last().map(|(s, _)| s);
+                    for sess in handed_over.into_iter().chain(instance.round.new_sessions.last()) {
                         let group = sess.group.0;
-                        ensure!(usize::from(group) < seat.groups, "the class {group} is in no settings");
+                        ensure!(
+                            usize::from(group) < instance.group_count,
+                            "the class {group} is not in the settings"
+                        );
                     }
-                    seat.touched = true;
+                    instance.touched = true;
                 }
             }
             Ok(())
         })
         .with_context(at)?;
-        let mut reply = Reply::new(head.number);
-        for (&instance, seat) in seats.iter_mut().filter(|(_, s)| s.touched) {
-            reply.open(instance);
-            seat.director.round(now, &seat.round, &mut reply);
-            seat.round = Round::default();
-            seat.touched = false;
+        let mut reply = Reply::new(header.number);
+        for (&number, instance) in instances.iter_mut().filter(|(_, i)| i.touched) {
+            reply.start_instance(number);
+            instance.director.round(now, &instance.round, &mut reply);
+            instance.round = Round::default();
+            instance.touched = false;
         }
         output.write_all(&reply.finish()).context("writing the reply")?;
         output.flush().context("writing the reply")?;
--- a/crates/kelpdoor-benchlink/tests/malformed.rs
+++ b/crates/kelpdoor-benchlink/tests/malformed.rs
@@ -1,4 +1,4 @@
-//! What the adapter says of input that is not the wire's, and that it ends with an error.
+//! Malformed input: the adapter prints one line that names the place of the error, and exits with status 1.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -24,11 +24,12 @@
     bytes
 }
 
-fn about(instance: u32) -> Vec<u8> {
+/// A record that names the instance of the records after it.
+fn select_instance(instance: u32) -> Vec<u8> {
     record(261, &instance.to_le_bytes())
 }
 
-/// A start whose settings lie in the tail, `len` bytes of it.
+/// A start of an instance whose settings are the first `len` bytes of the tail.
 fn start(len: u32) -> Vec<u8> {
     record(
         257,
@@ -36,8 +37,8 @@
     )
 }
 
-/// The adapter's exit code, the bytes it replied, and its last word.
-fn answer(input: &[u8]) -> String {
+/// Runs the adapter; returns its exit code, the length of its reply, and its standard error.
+fn run_adapter(input: &[u8]) -> String {
     let mut child = Command::new(env!("CARGO_BIN_EXE_kelpdoor-benchlink"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -46,28 +47,28 @@
         .expect("the adapter starts");
     child.stdin.take().expect("piped").write_all(input).expect("the adapter reads");
     let out = child.wait_with_output().expect("the adapter ends");
-    let said = String::from_utf8_lossy(&out.stderr).trim_end().to_owned();
-    format!("{:?}, {} bytes: {said}\n", out.status.code(), out.stdout.len())
+    let stderr = String::from_utf8_lossy(&out.stderr).trim_end().to_owned();
+    format!("{:?}, {} bytes: {stderr}\n", out.status.code(), out.stdout.len())
 }
 
 #[test]
-fn malformed_input_gets_one_plain_line() {
-    let mut short = frame(&[about(1)], b"");
-    short.truncate(50);
-    let mut many = frame(&[], b"");
-    many[16..20].copy_from_slice(&u32::MAX.to_le_bytes());
+fn malformed_input_prints_one_error_line() {
+    let mut truncated = frame(&[select_instance(1)], b"");
+    truncated.truncate(50);
+    let mut too_many_records = frame(&[], b"");
+    too_many_records[16..20].copy_from_slice(&u32::MAX.to_le_bytes());
     let cases = [
         frame(&[], b""),
-        short,
-        many,
-        frame(&[about(1), record(999, &[])], b""),
+        truncated,
+        too_many_records,
+        frame(&[select_instance(1), record(999, &[])], b""),
         frame(&[record(264, &[0; 8])], b""),
-        frame(&[about(1), record(264, &[0; 8])], b""),
-        frame(&[about(1), record(266, &[1, 0, 0, 0, 0, 0, 0, 0, 0, 5])], b""),
-        frame(&[about(1), start(9)], b"{}"),
-        frame(&[about(1), start(2)], b"{]"),
+        frame(&[select_instance(1), record(264, &[0; 8])], b""),
+        frame(&[select_instance(1), record(266, &[1, 0, 0, 0, 0, 0, 0, 0, 0, 5])], b""),
+        frame(&[select_instance(1), start(9)], b"{}"),
+        frame(&[select_instance(1), start(2)], b"{]"),
     ];
-    let said: String = cases.iter().map(|c| answer(c)).collect();
+    let results: String = cases.iter().map(|c| run_adapter(c)).collect();
     expect![[r#"
         Some(0), 12 bytes: 
         Some(1), 0 bytes: kelpdoor-benchlink: batch 7: the input ends after 30 of 64 bytes
@@ -78,5 +79,5 @@
         Some(1), 0 bytes: kelpdoor-benchlink: batch 7: record 1, code 266: list 5 was never given
         Some(1), 0 bytes: kelpdoor-benchlink: batch 7: record 1, code 257: a field points outside the tail: bytes 0 + 9 lie outside 2 bytes
         Some(1), 0 bytes: kelpdoor-benchlink: batch 7: record 1, code 257: the settings: not readable as JSON: key must be a string at line 1 column 2
-    "#]].assert_eq(&said);
+    "#]].assert_eq(&results);
 }
