--- a/crates/kelpdoor-benchlink/src/main.rs
+++ b/crates/kelpdoor-benchlink/src/main.rs
@@ -24,7 +24,7 @@
     /// Number of service groups in its settings.
     group_count: usize,
     /// Whether the current batch has an event for it.
-    touched: bool,
+    has_input: bool,
 }
 
 fn serve() -> Result<()> {
@@ -42,7 +42,7 @@
                     let group_count = terms.groups.len();
                     let director = Director::new(&terms, seed, now);
                     let instance =
-                        Instance { director, round: Round::default(), report, group_count, touched: true };
+                        Instance { director, round: Round::default(), report, group_count, has_input: true };
                     instances.insert(number, instance);
                 }
                 Event::PowerOff => {
@@ -61,18 +61,18 @@
                             "the class {group} is not in the settings"
                         );
                     }
-                    instance.touched = true;
+                    instance.has_input = true;
                 }
             }
             Ok(())
         })
         .with_context(at)?;
         let mut reply = Reply::new(header.number);
-        for (&number, instance) in instances.iter_mut().filter(|(_, i)| i.touched) {
+        for (&number, instance) in instances.iter_mut().filter(|(_, i)| i.has_input) {
             reply.start_instance(number);
             instance.director.round(now, &instance.round, &mut reply);
             instance.round = Round::default();
-            instance.touched = false;
+            instance.has_input = false;
         }
         output.write_all(&reply.finish()).context("writing the reply")?;
         output.flush().context("writing the reply")?;
--- a/crates/kelpdoord/src/agreed.rs
+++ b/crates/kelpdoord/src/agreed.rs
@@ -321,8 +321,8 @@
 ///
 /// If following the agreed rules cannot be started.
 pub async fn follow_schools(agreement: Agreement, sold: watch::Sender<Sold>) -> Result<()> {
-    let book = |seats: &keys::SchoolSeats| (pools(seats.schools()), true);
-    let mut following = Following::reading(agreement, (), book).await?;
+    let read_schools = |seats: &keys::SchoolSeats| (pools(seats.schools()), true);
+    let mut following = Following::reading(agreement, (), read_schools).await?;
     loop {
         let r = following.ruling();
         let schools = r.book.to_vec();
