--- a/crates/kelpdoor-lab/src/agreed.rs
+++ b/crates/kelpdoor-lab/src/agreed.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::record::{Line, What};
+use crate::record::{Entry, Event};
 
 /// s; two sockets may be seen so far out of order. An older version alone beside a newer one alone is never meant to be.
 const SKEW: f64 = 0.25;
@@ -75,7 +75,7 @@
 }
 
 /// `contradiction`: s, as the documents state it.
-pub fn judge(lines: &[Line], contradiction: f64) -> Judged {
+pub fn judge(lines: &[Entry], contradiction: f64) -> Judged {
     let mut j = Judged::default();
     let mut setups: Vec<Setup> = Vec::new();
     let mut floors: BTreeMap<String, u8> = BTreeMap::new();
@@ -95,26 +95,26 @@
     for (k, line) in lines.iter().enumerate() {
         let (n, t) = (k + 1, line.t);
         match &line.what {
-            What::Proposed { digest, story_floor, without: off, .. } => {
+            Event::Proposed { digest, story_floor, without: off, .. } => {
                 without.insert(digest.clone(), off.clone());
                 floors.insert(digest.clone(), *story_floor);
                 proposed.insert(digest.clone(), t);
             }
-            What::Outcome { said, .. } => {
+            Event::Outcome { said, .. } => {
                 if let Some(v) = said.strip_prefix("agreed ").and_then(versions) {
                     let (number, digest) = &v[0];
                     content(&mut j, n, *number, digest);
                     acknowledged.push((*number, t));
                 }
             }
-            What::Calm => calm = t,
-            What::Node { node, conn, got: true, text } if text.starts_with("OPTIONS ") => {
+            Event::Calm => calm = t,
+            Event::Node { node, conn, got: true, text } if text.starts_with("OPTIONS ") => {
                 let of = header(text, "User-Agent").and_then(|a| a.split("(director ").nth(1));
                 if let Some(d) = of.and_then(|d| d.trim_end_matches(')').parse().ok()) {
                     agents.insert((*node, *conn), d);
                 }
             }
-            What::Node { node, conn, got: true, text } if text.starts_with("SETUP ") => {
+            Event::Node { node, conn, got: true, text } if text.starts_with("SETUP ") => {
                 let Some(of) = header(text, "Rules-Version").and_then(versions) else {
                     j.broken.push((n, "a SETUP that names no version".into()));
                     continue;
@@ -132,7 +132,7 @@
                     node: *node,
                 });
             }
-            What::Player { director, got: true, text, .. } if t > calm + ONE_WITHIN => {
+            Event::Player { director, got: true, text, .. } if t > calm + ONE_WITHIN => {
                 let of = calm_answers.entry(*director).or_default();
                 of.0 += usize::from(text.contains("\"playing\"") || text.contains("\"busy\""));
                 of.1 += usize::from(text.contains("\"playing\""));
--- a/crates/kelpdoor-lab/src/chaos.rs
+++ b/crates/kelpdoor-lab/src/chaos.rs
@@ -9,7 +9,7 @@
 use crate::check::{Verdict, check};
 use crate::day;
 use crate::record;
-use crate::trouble::Script;
+use crate::trouble::TroubleScript;
 
 /// How large a schedule is.
 #[derive(Clone, Copy, Debug)]
@@ -56,13 +56,16 @@
 
 impl Played {
     pub fn good(&self) -> bool {
-        self.rules.broken.is_empty() && self.agreed.broken.is_empty() && self.ended_well
+        self.rules.violations.is_empty() && self.agreed.broken.is_empty() && self.ended_well
     }
 
     /// What broke, a line each.
     pub fn broken(&self) -> Vec<String> {
-        let rules =
-            self.rules.broken.iter().map(|b| format!("rule {} broken, line {}: {}", b.rule, b.line, b.what));
+        let rules = self
+            .rules
+            .violations
+            .iter()
+            .map(|b| format!("rule {} broken, line {}: {}", b.rule, b.line, b.what));
         let agreed = self.agreed.broken.iter().map(|(n, what)| format!("agreement broken, line {n}: {what}"));
         let end = (!self.ended_well).then(|| "a director did not end well".to_owned());
         rules.chain(agreed).chain(end).collect()
@@ -155,20 +158,20 @@
     lines
 }
 
-pub fn read(lines: &[String]) -> Result<Script> {
-    Script::run("schedule", &lines.join("\n")).map_err(|f| anyhow::anyhow!("{}", f[0]))
+pub fn read(lines: &[String]) -> Result<TroubleScript> {
+    TroubleScript::parse("schedule", &lines.join("\n")).map_err(|f| anyhow::anyhow!("{}", f[0]))
 }
 
 /// Plays a schedule once and judges it.
 ///
 /// # Errors
 /// Where it cannot be played.
-pub async fn play(script: &Script, program: &Path, dir: &Path) -> Result<Played> {
+pub async fn play(script: &TroubleScript, program: &Path, dir: &Path) -> Result<Played> {
     std::fs::create_dir_all(dir)?;
     let over = day::run(script, "", program, dir, false, |_| {}).await?;
     let lines = record::read(&over.record)?;
     let agreed = judge(&lines, script.size.contradiction);
-    Ok(Played { rules: check(&lines), agreed, ended_well: over.ended_well })
+    Ok(Played { rules: check(&lines), agreed, ended_well: over.exited_cleanly })
 }
 
 /// Takes lines out of a schedule that broke for as long as it still breaks, halves first, within so many plays.
--- a/crates/kelpdoor-lab/src/check.rs
+++ b/crates/kelpdoor-lab/src/check.rs
@@ -11,7 +11,7 @@
 use hdrhistogram::Histogram;
 use serde_json::Value;
 
-use crate::record::{Line, What};
+use crate::record::{Entry, Event};
 
 /// s; how far apart two sockets of one director may be seen.
 const SKEW: f64 = 0.25;
@@ -25,7 +25,7 @@
 const TOLD_WITHIN: f64 = 4.0;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: u8,
     /// Of the record, from 1.
     pub line: usize,
@@ -34,32 +34,32 @@
 
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    pub broken: Vec<Broken>,
-    pub wishes: usize,
+    pub violations: Vec<Violation>,
+    pub viewers: usize,
     pub starts: usize,
     pub playing: usize,
     pub busy: usize,
     pub failed: usize,
     pub setups: usize,
     /// Viewers that went before they were answered, and SETUPs begun for one over `GONE` s after that.
-    pub left: usize,
+    pub left_early: usize,
     pub late_setups: usize,
     pub further: usize,
     pub rung_changes: usize,
     /// Starts whose director was killed or stood still before their timeout, with no answer in time.
     pub excused: usize,
-    pub falls: usize,
+    pub cold_overloads: usize,
     /// Sessions with tokens that played, and most seats of a school in use at once, of how many.
-    pub ticketed: usize,
+    pub token_sessions: usize,
     pub seats_used: (usize, usize),
     pub tokens: usize,
     /// Most SETUPs that a cold node got in a window, over the limit there.
-    pub cold_use: f64,
+    pub max_cold_load: f64,
     /// Utility played by sessions answered within the start target, over the utility asked for.
     pub service: f64,
     /// us from start to `playing`, without a token and with one.
     pub start_times: Histogram<u64>,
-    pub ticket_times: Histogram<u64>,
+    pub token_start_times: Histogram<u64>,
 }
 
 impl Default for Verdict {
@@ -67,25 +67,25 @@
         // Up to ten minutes, three digits.
         let start_times = Histogram::new_with_max(600_000_000, 3).expect("good bounds");
         Verdict {
-            broken: Vec::new(),
-            wishes: 0,
+            violations: Vec::new(),
+            viewers: 0,
             starts: 0,
             playing: 0,
             busy: 0,
             failed: 0,
             setups: 0,
-            left: 0,
+            left_early: 0,
             late_setups: 0,
             further: 0,
             rung_changes: 0,
             excused: 0,
-            falls: 0,
-            ticketed: 0,
+            cold_overloads: 0,
+            token_sessions: 0,
             seats_used: (0, 0),
             tokens: 0,
-            cold_use: 0.0,
+            max_cold_load: 0.0,
             service: 0.0,
-            ticket_times: start_times.clone(),
+            token_start_times: start_times.clone(),
             start_times,
         }
     }
@@ -249,18 +249,18 @@
 }
 
 impl Checker {
-    fn broken(&mut self, rule: u8, line: usize, what: String) {
-        self.v.broken.push(Broken { rule, line, what });
+    fn report(&mut self, rule: u8, line: usize, what: String) {
+        self.v.violations.push(Violation { rule, line, what });
     }
 
     fn run_of(&self, director: u32) -> Run {
         (director, self.boots.get(&director).copied().unwrap_or(0))
     }
 
-    fn line(&mut self, n: usize, t: f64, what: &What) {
+    fn line(&mut self, n: usize, t: f64, what: &Event) {
         match what {
-            What::Settings { text } => self.terms = Terms::read(text),
-            What::NodeUp { node, cold, places, zone, .. } => {
+            Event::Settings { text } => self.terms = Terms::read(text),
+            Event::NodeUp { node, cold, places, zone, .. } => {
                 let life = NodeLife {
                     up: t,
                     cold: *cold,
@@ -273,42 +273,42 @@
                 self.lives.insert(*node, NodeLife { informed: saw, ..life });
                 self.conns.retain(|(id, _), _| id != node);
             }
-            What::NodeDown { node, why } => {
-                self.v.falls += usize::from(why.starts_with("pushed over"));
+            Event::NodeDown { node, why } => {
+                self.v.cold_overloads += usize::from(why.starts_with("pushed over"));
                 self.end_where(t, |s| s.node == *node);
             }
-            What::NodeConn { node, conn, open: false } => {
+            Event::NodeConn { node, conn, open: false } => {
                 self.end_where(t, |s| (s.node, s.conn) == (*node, *conn))
             }
-            What::Schools { seats } => self.schools = Some(*seats as usize),
-            What::SeatsLeft { held } => {
+            Event::Schools { seats } => self.schools = Some(*seats as usize),
+            Event::SeatsLeft { held } => {
                 if *held > 0 {
-                    self.broken(7, n, format!("{held} seats are held though nobody holds any"));
+                    self.report(7, n, format!("{held} seats are held though nobody holds any"));
                 }
             }
-            What::Keeper { event } => match event.as_str() {
+            Event::Keeper { event } => match event.as_str() {
                 "killed" | "stalled" => self.keeper_down.push((t, f64::INFINITY)),
                 _ => self.keeper_down.iter_mut().for_each(|d| d.1 = d.1.min(t)),
             },
-            What::NodeConn { .. } | What::Trouble { .. } | What::PlayerSock { .. } => {}
+            Event::NodeConn { .. } | Event::Trouble { .. } | Event::PlayerSock { .. } => {}
             // Judged apart, in `agreed`.
-            What::Voter { .. } | What::Proposed { .. } | What::Outcome { .. } | What::Calm => {}
-            What::Node { node, conn, got, text } => self.rtsp(n, t, *node, *conn, *got, text),
-            What::Stream { node, key, share, .. } => {
+            Event::Voter { .. } | Event::Proposed { .. } | Event::Outcome { .. } | Event::Calm => {}
+            Event::Node { node, conn, got, text } => self.rtsp(n, t, *node, *conn, *got, text),
+            Event::Stream { node, key, share, .. } => {
                 let of = self.setups.iter_mut().rev().find(|s| s.node == *node && s.key == *key);
                 if let Some(s) = of {
                     s.share = *share;
                     s.ended.get_or_insert(t);
                 }
             }
-            What::Wish { group, best_rung, seconds, .. } => {
+            Event::Wish { group, best_rung, seconds, .. } => {
                 self.wishes.push((group.clone(), u64::from(*best_rung), *seconds));
             }
-            What::Player { director, boot, got, text, .. } => {
+            Event::Player { director, boot, got, text, .. } => {
                 self.player(n, t, (*director, *boot), *got, text)
             }
-            What::Roster { director, text } => self.roster(t, *director, text),
-            What::Director { director, boot, event } => match event.as_str() {
+            Event::Roster { director, text } => self.roster(t, *director, text),
+            Event::Director { director, boot, event } => match event.as_str() {
                 "started" => {
                     self.boots.insert(*director, *boot);
                     self.up_at.insert(*director, t);
@@ -406,7 +406,7 @@
         let group = self.setups[k].group.clone();
         let floor = self.terms.groups.get(&group).map_or(0, |g| g.floor);
         if rung < floor {
-            self.broken(5, n, format!("rung {rung} under the floor {floor} of {group}"));
+            self.report(5, n, format!("rung {rung} under the floor {floor} of {group}"));
         }
     }
 
@@ -439,7 +439,7 @@
             self.v.late_setups += 1;
             if self.v.late_setups >= GONE_CASES {
                 let what = format!("director {director} sent a SETUP {late:.3} s after its viewer had gone");
-                self.broken(8, n, what);
+                self.report(8, n, what);
             }
         }
         self.by_pipe.insert((node, conn, get("Pipelined-Requests")), k);
@@ -450,7 +450,7 @@
             let late = t - told - self.terms.grace;
             let stands = self.stalled.contains_key(&director);
             if phase != "ready" && late > HEARD && !stands {
-                self.broken(
+                self.report(
                     3,
                     n,
                     format!("director {director} sent to node {node} {late:.2} s past the grace, {phase}"),
@@ -474,10 +474,10 @@
         let knew = |d: u32| life.informed.contains(&d) || self.up_at.get(&d).is_some_and(|up| *up >= life.up);
         let informed = window.iter().filter(|(_, _, (d, _))| knew(*d)).count();
         let count = window.len();
-        self.v.cold_use = self.v.cold_use.max(count as f64 / limit);
+        self.v.max_cold_load = self.v.max_cold_load.max(count as f64 / limit);
         if count as f64 > limit && informed * 2 > count {
             let what = format!("cold node {node} got {count} SETUPs in {fall} s, it bears {limit:.1}");
-            self.broken(4, n, what);
+            self.report(4, n, what);
         }
     }
 
@@ -540,11 +540,11 @@
             },
             (true, "playing" | "busy" | "failed") => match known {
                 Some(k) => self.starts[k].finals.push((t, n, kind.to_owned())),
-                None => self.broken(1, n, format!("an answer to no request: {key}")),
+                None => self.report(1, n, format!("an answer to no request: {key}")),
             },
             (false, "leave") => {
                 if let Some(k) = known {
-                    self.v.left += usize::from(self.starts[k].finals.is_empty());
+                    self.v.left_early += usize::from(self.starts[k].finals.is_empty());
                     self.starts[k].left.get_or_insert(t);
                 }
             }
@@ -581,7 +581,7 @@
             }
             if many || count > sent {
                 let at = self.starts[k].finals.last().map_or(line, |f| f.1);
-                self.broken(1, at, format!("{key}: {count} final answers to {sent} requests, kinds {many}"));
+                self.report(1, at, format!("{key}: {count} final answers to {sent} requests, kinds {many}"));
             }
             if (self.starts[k].refused || self.starts[k].left.is_some()) && count == 0 {
                 continue;
@@ -595,7 +595,7 @@
                         || format!("{key}: no answer within its {} s", self.starts[k].timeout),
                         |f| format!("{key}: {} came {:.3} s too late", f.2, f.0 - due),
                     );
-                    self.broken(1, line, what);
+                    self.report(1, line, what);
                 }
             }
         }
@@ -649,7 +649,7 @@
                 ));
             }
         }
-        found.into_iter().for_each(|(rule, line, what)| self.broken(rule, line, what));
+        found.into_iter().for_each(|(rule, line, what)| self.report(rule, line, what));
     }
 
     fn seats(&mut self) {
@@ -678,7 +678,7 @@
                 }
             }
         }
-        found.into_iter().for_each(|(line, what)| self.broken(5, line, what));
+        found.into_iter().for_each(|(line, what)| self.report(5, line, what));
     }
 
     /// Seats of schools: by what played at nodes, never more tokens of a school at once than it has seats, and no token
@@ -699,9 +699,9 @@
             }
         }
         let mut found = Vec::new();
-        let (mut most, mut ticketed) = (0, 0);
+        let (mut most, mut token_sessions) = (0, 0);
         for (school, of) in &by_school {
-            ticketed += of.len();
+            token_sessions += of.len();
             for (from, _, id, line, run) in of {
                 let at: Vec<_> = of.iter().filter(|o| o.0 <= *from && o.1 > *from).collect();
                 let held: BTreeSet<&str> = at.iter().map(|o| o.2).collect();
@@ -722,8 +722,9 @@
                 }
             }
         }
-        (self.v.ticketed, self.v.seats_used, self.v.tokens) = (ticketed, (most, seats), ids.len());
-        found.into_iter().for_each(|(line, what)| self.broken(7, line, what));
+        (self.v.token_sessions, self.v.seats_used, self.v.tokens) =
+            (token_sessions, (most, seats), ids.len());
+        found.into_iter().for_each(|(line, what)| self.report(7, line, what));
     }
 
     fn budget(&mut self) {
@@ -753,7 +754,7 @@
                 }
             }
         }
-        found.into_iter().for_each(|(line, what)| self.broken(6, line, what));
+        found.into_iter().for_each(|(line, what)| self.report(6, line, what));
     }
 
     fn service(&mut self, last: f64) {
@@ -768,7 +769,7 @@
         for s in &self.starts {
             let Some(f) = s.finals.iter().find(|f| f.2 == "playing") else { continue };
             let with = self.tokens.contains_key(&(s.run, s.key.clone()));
-            let times = if with { &mut self.v.ticket_times } else { &mut self.v.start_times };
+            let times = if with { &mut self.v.token_start_times } else { &mut self.v.start_times };
             times.saturating_record(((f.0 - s.at) * 1e6) as u64);
             if self.terms.groups.get(&s.group).is_some_and(|g| f.0 - s.at <= g.target) {
                 in_time.insert((s.run, s.key.clone()));
@@ -789,12 +790,12 @@
             }
         }
         self.v.service = if asked > 0.0 { got / asked } else { 0.0 };
-        self.v.wishes = self.wishes.len();
+        self.v.viewers = self.wishes.len();
     }
 }
 
 /// Judges a record.
-pub fn check(lines: &[Line]) -> Verdict {
+pub fn check(lines: &[Entry]) -> Verdict {
     let mut order: Vec<usize> = (0..lines.len()).collect();
     order.sort_by(|&a, &b| lines[a].t.total_cmp(&lines[b].t));
     let mut checker = Checker::default();
@@ -807,6 +808,6 @@
     checker.tickets();
     checker.budget();
     checker.service(lines.last().map_or(0.0, |l| l.t));
-    checker.v.broken.sort_by_key(|b| (b.rule, b.line));
+    checker.v.violations.sort_by_key(|b| (b.rule, b.line));
     checker.v
 }
--- a/crates/kelpdoor-lab/src/day.rs
+++ b/crates/kelpdoor-lab/src/day.rs
@@ -11,21 +11,21 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::between::{Between, Site, Way};
-use crate::fleet::{Fold, World, settings};
-use crate::player::{Ticket, Wish, play};
-use crate::record::{Recorder, What};
-use crate::tickets;
-use crate::trouble::{Kind, Script, Trouble};
+use crate::fleet::{Processes, StandIns, settings};
+use crate::player::{DesiredSession, TokenPlan, run_player};
+use crate::record::{Event, Recorder};
+use crate::schools;
+use crate::trouble::{Trouble, TroubleKind, TroubleScript};
 use crate::voting::{Agreeing, Voting};
 
 /// s; a lease, a clock error and a sweep of the keeper's, after its restart.
 const LAST_LEASE: f64 = 16.0;
 /// The default bad day.
-pub const DEFAULT: &str = include_str!("../scripts/bad-day.star");
+pub const DEFAULT_SCRIPT: &str = include_str!("../scripts/bad-day.star");
 /// A short one.
-pub const SHORT: &str = include_str!("../scripts/short-day.star");
+pub const SHORT_SCRIPT: &str = include_str!("../scripts/short-day.star");
 
-fn draw_wish(script: &Script, rng: &mut Rng, player: u32, title: Option<&str>) -> Wish {
+fn draw_session(script: &TroubleScript, rng: &mut Rng, player: u32, title: Option<&str>) -> DesiredSession {
     let size = &script.size;
     let draw = rng.f64();
     let (group, scale, timeout) = match draw {
@@ -37,7 +37,7 @@
     let group = if title.is_some() { "lecture" } else { group };
     // Some titles are wanted far more than others.
     let any = format!("title-{:02}", (40.0 * rng.f64().powi(2)) as u32);
-    Wish {
+    DesiredSession {
         player,
         zone: size.zones[rng.usize(..size.zones.len())].clone(),
         group: group.to_owned(),
@@ -47,45 +47,45 @@
         setup_timeout: timeout,
         retries: rng.f64() < 0.25,
         second_socket: rng.f64() < 0.4,
-        ticket: None,
+        token_plan: None,
     }
 }
 
 /// Who comes when, by the script's seed.
-fn arrivals(script: &Script) -> Vec<(f64, Wish)> {
+fn arrivals(script: &TroubleScript) -> Vec<(f64, DesiredSession)> {
     let size = &script.size;
     let mut rng = Rng::with_seed(size.seed ^ 0x5eed);
     let mut all = Vec::new();
     let span = (size.seconds - size.watch * 0.5).max(1.0);
     for player in 0..size.players {
-        all.push((rng.f64() * span, draw_wish(script, &mut rng, player, None)));
+        all.push((rng.f64() * span, draw_session(script, &mut rng, player, None)));
     }
     let mut next = size.players;
     let mut crowd = |at: f64, n: u32, title: &str, rng: &mut Rng, within: f64| {
         for _ in 0..n {
-            all.push((at + within * rng.f64(), draw_wish(script, rng, next, Some(title))));
+            all.push((at + within * rng.f64(), draw_session(script, rng, next, Some(title))));
             next += 1;
         }
     };
     crowd(size.class_at, size.class_of, "title-07", &mut rng, 1.0);
-    for (_, t) in script.troubles.iter().filter(|(k, _)| *k == Kind::HotKey) {
+    for (_, t) in script.troubles.iter().filter(|(k, _)| *k == TroubleKind::HotKey) {
         let title = if t.title.is_empty() { "title-11" } else { &t.title };
         crowd(t.at, t.players, title, &mut rng, t.lasts.max(0.1));
     }
     // Of their own chance, so that they change nothing of the others.
     let mut rng = Rng::with_seed(size.seed ^ 0x71c8);
     for k in 0..size.tickets {
-        let mut wish = draw_wish(script, &mut rng, next + k, None);
-        wish.group = "ticket".into();
-        wish.seconds = size.token_lasts * (0.5 + 2.0 * rng.f64());
-        wish.setup_timeout = 3.0;
-        wish.ticket = Some(Ticket {
-            school: tickets::school(k % size.schools.max(1)),
+        let mut wanted = draw_session(script, &mut rng, next + k, None);
+        wanted.group = "ticket".into();
+        wanted.seconds = size.token_lasts * (0.5 + 2.0 * rng.f64());
+        wanted.setup_timeout = 3.0;
+        wanted.token_plan = Some(TokenPlan {
+            school: schools::school_name(k % size.schools.max(1)),
             lasts: size.token_lasts * (0.7 + 0.6 * rng.f64()),
             renews: rng.f64() < 0.8,
             elsewhere: rng.f64() < 0.5,
         });
-        all.push((rng.f64() * span, wish));
+        all.push((rng.f64() * span, wanted));
     }
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
     all
@@ -93,10 +93,10 @@
 
 /// Where troubles are acted out.
 #[derive(Clone)]
-pub struct Stage {
-    pub world: Arc<World>,
-    pub fold: Arc<Mutex<Fold>>,
-    pub script: Arc<Script>,
+pub struct TroubleRunner {
+    pub stand_ins: Arc<StandIns>,
+    pub processes: Arc<Mutex<Processes>>,
+    pub script: Arc<TroubleScript>,
     pub agreeing: Option<Agreeing>,
 }
 
@@ -104,38 +104,38 @@
     sleep(Duration::from_secs_f64(seconds)).await;
 }
 
-impl Stage {
+impl TroubleRunner {
     async fn each_back(&self, nodes: &[u32], wait: f64) {
         pause(wait).await;
         for &id in nodes {
-            if let Err(e) = self.world.nodes.restart(id).await {
+            if let Err(e) = self.stand_ins.nodes.restart(id).await {
                 tracing::error!(id, %e, "a node could not be started again");
             }
         }
     }
 
     /// Does one trouble, from its begin to its end.
-    pub async fn act(&self, kind: Kind, t: &Trouble) {
-        let nodes = &self.world.nodes;
+    pub async fn apply(&self, kind: TroubleKind, t: &Trouble) {
+        let nodes = &self.stand_ins.nodes;
         let text = format!("{kind:?} {}", serde_json::to_string(t).unwrap_or_default());
-        self.world.recorder.put(What::Trouble { text });
+        self.stand_ins.recorder.record(Event::Trouble { text });
         match kind {
-            Kind::Crash => {
+            TroubleKind::Crash => {
                 t.nodes.iter().for_each(|&id| nodes.kill(id, "crash"));
                 self.each_back(&t.nodes, t.lasts).await;
             }
-            Kind::Vanish => {
+            TroubleKind::Vanish => {
                 t.nodes.iter().for_each(|&id| nodes.silence(id));
                 pause(t.lasts).await;
                 t.nodes.iter().for_each(|&id| nodes.kill(id, "restart after silence"));
                 self.each_back(&t.nodes, 0.2).await;
             }
-            Kind::Slow => {
+            TroubleKind::Slow => {
                 self.links(&t.nodes, t.factor);
                 pause(t.lasts).await;
                 self.links(&t.nodes, 1.0);
             }
-            Kind::Neighbour => {
+            TroubleKind::Neighbour => {
                 let end = Instant::now() + Duration::from_secs_f64(t.lasts);
                 while Instant::now() < end {
                     self.links(&t.nodes, t.factor);
@@ -144,12 +144,12 @@
                     pause(1.0).await;
                 }
             }
-            Kind::RackSag => {
+            TroubleKind::RackSag => {
                 self.uplinks(&t.racks, t.factor);
                 pause(t.lasts).await;
                 self.uplinks(&t.racks, 1.0);
             }
-            Kind::Ageing => {
+            TroubleKind::Ageing => {
                 for step in 1..=8 {
                     nodes.with_fleet(|f| {
                         for id in &t.nodes {
@@ -163,7 +163,7 @@
                 t.nodes.iter().for_each(|&id| nodes.kill(id, "died of age"));
                 self.each_back(&t.nodes, 3.0).await;
             }
-            Kind::Deploy => {
+            TroubleKind::Deploy => {
                 for &id in &t.nodes {
                     nodes.drain(id, true);
                     pause(t.notice).await;
@@ -173,36 +173,36 @@
                     pause((t.lasts / t.nodes.len() as f64 - t.notice - 0.3).max(0.0)).await;
                 }
             }
-            Kind::DiscoveryStale => {
+            TroubleKind::DiscoveryStale => {
                 let usual = self.script.size.roster_lag;
-                self.world.roster.lag(usual + t.factor);
+                self.stand_ins.roster.lag(usual + t.factor);
                 pause(t.lasts).await;
-                self.world.roster.lag(usual);
+                self.stand_ins.roster.lag(usual);
             }
-            Kind::ReportLate => {
-                nodes.telling(|x| x.extra += t.factor);
+            TroubleKind::ReportLate => {
+                nodes.notification_delays(|x| x.extra += t.factor);
                 pause(t.lasts).await;
-                nodes.telling(|x| x.extra -= t.factor);
+                nodes.notification_delays(|x| x.extra -= t.factor);
             }
-            Kind::BalancerRoll => {
+            TroubleKind::BalancerRoll => {
                 for &d in &t.directors {
-                    self.fold.lock().await.kill(d as usize).await;
+                    self.processes.lock().await.kill(d as usize).await;
                     pause(t.notice).await;
-                    if let Err(e) = self.fold.lock().await.start(d as usize).await {
+                    if let Err(e) = self.processes.lock().await.start(d as usize).await {
                         tracing::error!(d, %e, "a director could not be started again");
                     }
                 }
             }
-            Kind::BalancerStall => {
+            TroubleKind::BalancerStall => {
                 for &d in &t.directors {
-                    self.fold.lock().await.stall(d as usize, true);
+                    self.processes.lock().await.stall(d as usize, true);
                 }
                 pause(t.lasts).await;
                 for &d in &t.directors {
-                    self.fold.lock().await.stall(d as usize, false);
+                    self.processes.lock().await.stall(d as usize, false);
                 }
             }
-            Kind::ZoneLoss => {
+            TroubleKind::ZoneLoss => {
                 let size = &self.script.size;
                 let zones = size.zones.len() as u32;
                 let here = |id: &u32| size.zones[(id * zones / size.nodes) as usize] == t.zone;
@@ -210,40 +210,40 @@
                 ids.iter().for_each(|&id| nodes.kill(id, "its room was lost"));
                 self.each_back(&ids, t.lasts).await;
             }
-            Kind::KeeperRoll => {
-                if let Some(keeper) = self.fold.lock().await.keeper.as_mut() {
+            TroubleKind::KeeperRoll => {
+                if let Some(keeper) = self.processes.lock().await.keeper.as_mut() {
                     keeper.kill().await;
                 }
-                self.fold.lock().await.note_keeper("killed");
+                self.processes.lock().await.note_keeper("killed");
                 pause(t.notice).await;
-                let mut fold = self.fold.lock().await;
-                if let Some(keeper) = fold.keeper.as_mut() {
-                    if let Err(e) = keeper.again().await {
+                let mut processes = self.processes.lock().await;
+                if let Some(keeper) = processes.keeper.as_mut() {
+                    if let Err(e) = keeper.restart().await {
                         tracing::error!(%e, "the keeper could not be started again");
                     }
-                    fold.note_keeper("started");
+                    processes.note_keeper("started");
                 }
             }
-            Kind::KeeperStall => {
+            TroubleKind::KeeperStall => {
                 self.stall_keeper(true).await;
                 pause(t.lasts).await;
                 self.stall_keeper(false).await;
             }
-            Kind::NewKey => {
-                let issuing = self.fold.lock().await.issuing.clone();
-                let Some(issuing) = issuing else { return };
-                let changed = issuing.next_key();
+            TroubleKind::NewKey => {
+                let token_issuer = self.processes.lock().await.token_issuer.clone();
+                let Some(token_issuer) = token_issuer else { return };
+                let changed = token_issuer.next_key();
                 pause(t.lasts).await;
-                if let Err(e) = changed.and_then(|()| issuing.drop_old()) {
+                if let Err(e) = changed.and_then(|()| token_issuer.retire_old_keys()) {
                     tracing::error!(%e, "the key could not be changed");
                 }
             }
-            Kind::HotKey => {}
-            Kind::Cut | Kind::Late | Kind::Trickle => {
+            TroubleKind::HotKey => {}
+            TroubleKind::Cut | TroubleKind::Late | TroubleKind::Trickle => {
                 let set = |on: bool| {
                     let act = move |w: &mut Way| match kind {
-                        Kind::Cut => w.cut = on,
-                        Kind::Late => w.late = if on { t.factor } else { 0.0 },
+                        TroubleKind::Cut => w.cut = on,
+                        TroubleKind::Late => w.late = if on { t.factor } else { 0.0 },
                         _ => w.rate = if on { t.factor } else { 0.0 },
                     };
                     move |between: &Between, from, to| between.set(from, to, act)
@@ -252,19 +252,19 @@
                 pause(t.lasts).await;
                 self.lines(t, set(false)).await;
             }
-            Kind::LineReset => self.lines(t, |between, from, to| between.reset(from, to)).await,
-            Kind::VoterRoll | Kind::VoterDisk => {
+            TroubleKind::LineReset => self.lines(t, |between, from, to| between.reset(from, to)).await,
+            TroubleKind::VoterRoll | TroubleKind::VoterDisk => {
                 for &v in &t.voters {
                     self.voter(async |voting| {
                         voting.kill(v).await;
-                        if kind == Kind::VoterDisk { voting.lose_disk(v) } else { Ok(()) }
+                        if kind == TroubleKind::VoterDisk { voting.lose_disk(v) } else { Ok(()) }
                     })
                     .await;
                     pause(t.notice).await;
                     self.voter(async |voting| voting.again(v).await).await;
                 }
             }
-            Kind::VoterStall => {
+            TroubleKind::VoterStall => {
                 for on in [true, false] {
                     self.voter(async |voting| {
                         t.voters.iter().for_each(|&v| voting.stall(v, on));
@@ -274,7 +274,7 @@
                     pause(if on { t.lasts } else { 0.0 }).await;
                 }
             }
-            Kind::VoterFull => {
+            TroubleKind::VoterFull => {
                 for &v in &t.voters {
                     self.voter(async |voting| voting.full_disk(v, true)).await;
                     pause(t.lasts).await;
@@ -287,14 +287,14 @@
                     .await;
                 }
             }
-            Kind::Propose => {
+            TroubleKind::Propose => {
                 let through = t.directors.first().copied().unwrap_or(0);
                 let Some(agreeing) = &self.agreeing else { return };
                 if let Err(e) = agreeing.proposer.lock().await.propose(t.change, through).await {
                     tracing::error!(%e, "a proposal");
                 }
             }
-            Kind::WallStep => {
+            TroubleKind::WallStep => {
                 let Some(agreeing) = &self.agreeing else { return };
                 let far = if t.way == "back" { -t.factor } else { t.factor };
                 for off in [far, 0.0] {
@@ -306,7 +306,7 @@
                     pause(if off == far { t.lasts } else { 0.0 }).await;
                 }
             }
-            Kind::VoterList => {
+            TroubleKind::VoterList => {
                 let through = t.directors.first().copied().unwrap_or(0);
                 let Some(agreeing) = &self.agreeing else { return };
                 self.voter(async |voting| voting.all_up(&t.voters).await).await;
@@ -333,13 +333,13 @@
                     }
                 }
             }
-            Kind::Preempt => {
+            TroubleKind::Preempt => {
                 t.nodes.iter().for_each(|&id| nodes.drain(id, true));
                 pause(t.notice).await;
                 t.nodes.iter().for_each(|&id| nodes.kill(id, "taken away"));
                 self.each_back(&t.nodes, t.lasts).await;
             }
-            Kind::Drain => {
+            TroubleKind::Drain => {
                 t.nodes.iter().for_each(|&id| nodes.drain(id, true));
                 pause(t.lasts).await;
                 t.nodes.iter().for_each(|&id| nodes.drain(id, false));
@@ -348,9 +348,9 @@
     }
 
     async fn stall_keeper(&self, on: bool) {
-        let fold = self.fold.lock().await;
-        if let Some(keeper) = &fold.keeper {
-            fold.note_keeper(if on { "stalled" } else { "resumed" });
+        let processes = self.processes.lock().await;
+        if let Some(keeper) = &processes.keeper {
+            processes.note_keeper(if on { "stalled" } else { "resumed" });
             keeper.stall(on);
         }
     }
@@ -391,7 +391,7 @@
     }
 
     fn links(&self, nodes: &[u32], factor: f64) {
-        self.world.nodes.with_fleet(|f| {
+        self.stand_ins.nodes.with_fleet(|f| {
             for id in nodes {
                 if let Some(n) = f.nodes.get_mut(id) {
                     n.link_factor = factor;
@@ -401,7 +401,7 @@
     }
 
     fn uplinks(&self, racks: &[u16], factor: f64) {
-        self.world.nodes.with_fleet(|f| {
+        self.stand_ins.nodes.with_fleet(|f| {
             for &r in racks {
                 f.uplink_factor[usize::from(r)] = factor;
             }
@@ -410,32 +410,32 @@
 }
 
 /// What a day left behind.
-pub struct DayOver {
+pub struct DayResult {
     pub record: PathBuf,
     /// Whether each director ended well when asked to.
-    pub ended_well: bool,
+    pub exited_cleanly: bool,
     pub journals: Vec<(PathBuf, PathBuf)>,
 }
 
 /// What the keeper counts as held when nobody holds anything any more: nothing, as soon as the leases of directors that
 /// were killed are over.
-async fn seats_left(fold: &mut Fold, recorder: &Recorder) -> Result<()> {
-    let Some(keeper) = &mut fold.keeper else { return Ok(()) };
+async fn seats_left(processes: &mut Processes, recorder: &Recorder) -> Result<()> {
+    let Some(keeper) = &mut processes.keeper else { return Ok(()) };
     // It may have been under trouble at the end of the day.
     keeper.stall(false);
-    if keeper.standing().await.is_err() {
+    if keeper.seat_counts().await.is_err() {
         keeper.kill().await;
-        keeper.again().await?;
+        keeper.restart().await?;
     }
     let end = Instant::now() + Duration::from_secs_f64(LAST_LEASE);
     let held = loop {
-        let (held, _) = keeper.standing().await?;
+        let (held, _) = keeper.seat_counts().await?;
         if held == 0 || Instant::now() > end {
             break held;
         }
         sleep(Duration::from_millis(200)).await;
     };
-    recorder.put(What::SeatsLeft { held });
+    recorder.record(Event::SeatsLeft { held });
     keeper.kill().await;
     Ok(())
 }
@@ -445,45 +445,53 @@
 /// # Errors
 /// Where stand-ins or directors cannot be started, or the record not be written.
 pub async fn run(
-    script: &Script, other: &str, program: &Path, dir: &Path, journal: bool, mut tick: impl FnMut(f64),
-) -> Result<DayOver> {
+    script: &TroubleScript, other: &str, program: &Path, dir: &Path, journal: bool, mut tick: impl FnMut(f64),
+) -> Result<DayResult> {
     let record = dir.join("record.zst");
     let (recorder, file) = Recorder::to_file(&record)?;
     let size = &script.size;
     let shared = settings(size, other);
-    let world = Arc::new(World::start(size, &shared, recorder.clone()).await?);
-    let mut fold = Fold::new(size, &shared, program.into(), world.roster_at, recorder.clone(), dir, journal);
-    fold.start_keeper().await?;
-    fold.start_voters().await?;
-    let agreeing = fold.agreeing.clone();
+    let stand_ins = Arc::new(StandIns::start(size, &shared, recorder.clone()).await?);
+    let mut processes = Processes::new(
+        size,
+        &shared,
+        program.into(),
+        stand_ins.roster_address,
+        recorder.clone(),
+        dir,
+        journal,
+    );
+    processes.start_keeper().await?;
+    processes.start_voters().await?;
+    let agreeing = processes.agreeing.clone();
     for d in 0..size.directors as usize {
-        fold.start(d).await?;
+        processes.start(d).await?;
     }
-    let issuing = fold.issuing.clone();
-    let directors = fold.directors.clone();
-    let fold = Arc::new(Mutex::new(fold));
+    let token_issuer = processes.token_issuer.clone();
+    let directors = processes.directors.clone();
+    let processes = Arc::new(Mutex::new(processes));
     let script = Arc::new(script.clone());
     let started = Instant::now();
     let mut troubles = JoinSet::new();
     for (kind, t) in script.troubles.clone() {
-        let stage = Stage {
-            world: world.clone(),
-            fold: fold.clone(),
+        let runner = TroubleRunner {
+            stand_ins: stand_ins.clone(),
+            processes: processes.clone(),
             script: script.clone(),
             agreeing: agreeing.clone(),
         };
         troubles.spawn(async move {
             sleep_until(started + Duration::from_secs_f64(t.at)).await;
-            stage.act(kind, &t).await;
+            runner.apply(kind, &t).await;
         });
     }
     let mut players = JoinSet::new();
-    for (at, wish) in arrivals(&script) {
-        let (directors, recorder, issuing) = (directors.clone(), recorder.clone(), issuing.clone());
-        let seed = script.size.seed ^ (u64::from(wish.player) << 20);
+    for (at, wanted) in arrivals(&script) {
+        let (directors, recorder, token_issuer) = (directors.clone(), recorder.clone(), token_issuer.clone());
+        let seed = script.size.seed ^ (u64::from(wanted.player) << 20);
         players.spawn(async move {
             sleep_until(started + Duration::from_secs_f64(at)).await;
-            play(wish, directors, recorder, issuing, seed).await;
+            run_player(wanted, directors, recorder, token_issuer, seed).await;
         });
     }
     let end = started + Duration::from_secs_f64(script.size.seconds);
@@ -492,27 +500,29 @@
         sleep(Duration::from_millis(200)).await;
         while troubles.try_join_next().is_some() {}
         if troubles.is_empty() && script.size.voters > 0 && !std::mem::replace(&mut calm, true) {
-            recorder.put(What::Calm);
+            recorder.record(Event::Calm);
         }
         tick(started.elapsed().as_secs_f64());
     }
-    let mut ended_well = true;
+    let mut exited_cleanly = true;
     {
         // What is still under trouble ends with the day.
         troubles.shutdown().await;
-        let mut fold = fold.lock().await;
+        let mut processes = processes.lock().await;
         for d in 0..script.size.directors as usize {
-            fold.stall(d, false);
-            ended_well &= fold.end(d).await?;
+            processes.stall(d, false);
+            exited_cleanly &= processes.end(d).await?;
         }
     }
     players.shutdown().await;
-    seats_left(&mut *fold.lock().await, &recorder).await?;
+    seats_left(&mut *processes.lock().await, &recorder).await?;
     let journals = {
-        let fold = fold.lock().await;
-        (0..script.size.directors as usize).map(|d| (fold.script_path(d), fold.journal_path(d))).collect()
+        let processes = processes.lock().await;
+        (0..script.size.directors as usize)
+            .map(|d| (processes.script_path(d), processes.journal_path(d)))
+            .collect()
     };
     // Stand-ins run on in tasks of this runtime; what they still put is of no interest.
     file.finish()?;
-    Ok(DayOver { record, ended_well, journals })
+    Ok(DayResult { record, exited_cleanly, journals })
 }
--- a/crates/kelpdoor-lab/src/fromday.rs
+++ b/crates/kelpdoor-lab/src/drawn_day.rs
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// Where the text is no drawn day.
-pub fn script(text: &str) -> Result<String> {
+pub fn to_script(text: &str) -> Result<String> {
     let day: Value = serde_json::from_str(text).context("not JSON")?;
     ensure!(
         day["troubles"].is_array() && day["servers"].is_array(),
@@ -90,7 +90,7 @@
         trouble(&mut out, t, &s)?;
     }
     // The script has to be one.
-    crate::trouble::Script::run("from-day", &out).map_err(|f| anyhow::anyhow!("{f:?}\n{out}"))?;
+    crate::trouble::TroubleScript::parse("from-day", &out).map_err(|f| anyhow::anyhow!("{f:?}\n{out}"))?;
     Ok(out)
 }
 
--- a/crates/kelpdoor-lab/src/fleet.rs
+++ b/crates/kelpdoor-lab/src/fleet.rs
@@ -12,13 +12,13 @@
 use nix::unistd::Pid;
 
 use crate::daemon::Daemon;
-use crate::fluid::{Fleet, FleetTerms};
-use crate::node::{Build, Nodes, Telling};
-use crate::player::Directors;
-use crate::record::{Recorder, What};
+use crate::fluid::{FluidFleet, FluidSettings};
+use crate::node::{NodeConfig, Nodes, NotificationDelays};
+use crate::player::DirectorAddresses;
+use crate::record::{Event, Recorder};
 use crate::roster::Roster;
-use crate::tickets::{self, Issuing, KeeperProcess};
-use crate::trouble::Size;
+use crate::schools::{self, KeeperProcess, TokenIssuer};
+use crate::trouble::DaySettings;
 use crate::voting::Agreeing;
 
 /// kB a second for each unit of a node's size.
@@ -26,7 +26,7 @@
 
 /// Settings that hardly any deployment has, to try the rules under: few seats, a high floor, every kind of repeat, a
 /// small budget, a low cold start that tips soon.
-pub const ODD: &str = r#"
+pub const ODD_SETTINGS: &str = r#"
 ladder(rates = [90, 300, 500], utility = [0.3, 0.7, 1.0])
 group("lecture", utility = 2, start_target = 0.5, scale = 1.4, top = 2, seats = 3, repeat = "cell", repeat_window = 1)
 group("story", utility = 1, start_target = 0.3, top = 2, repeat = "anywhere", repeat_window = 0.5)
@@ -37,7 +37,7 @@
 node_links(connect_timeout = 0.2, quiet = 1, dead_after = 3)
 "#;
 
-const USUAL: &str = r#"
+const DEFAULT_SETTINGS: &str = r#"
 ladder(rates = [120, 221, 405, 744, 1365], utility = [0.2, 0.42, 0.62, 0.82, 1.0], switch_cost = 0.8)
 group("lecture", utility = 2, start_target = 1.5, scale = 1.4, top = 4, seats = 20)
 group("story", utility = 1, start_target = 1.0, top = 3)
@@ -48,15 +48,18 @@
 "#;
 
 /// The settings that all directors of a lab share, but for their own lines; `other` replaces the usual ones.
-pub fn settings(size: &Size, other: &str) -> String {
+pub fn settings(size: &DaySettings, other: &str) -> String {
     let ticket = if other.is_empty() {
         "utility = 1, start_target = 1.5, top = 3"
     } else {
         "utility = 1, start_target = 0.4, top = 1, repeat = \"never\""
     };
-    let tickets = tickets::settings(size, ticket);
+    let tickets = schools::settings(size, ticket);
     let (other, cold) = if other.is_empty() {
-        (USUAL, "cold_from = 0.4, warm_within = 8, tip_multiple = 4, fall_window = 2, drain_grace = 1")
+        (
+            DEFAULT_SETTINGS,
+            "cold_from = 0.4, warm_within = 8, tip_multiple = 4, fall_window = 2, drain_grace = 1",
+        )
     } else {
         (other, "cold_from = 0.1, warm_within = 10, tip_multiple = 2, fall_window = 1, drain_grace = 0.3")
     };
@@ -73,7 +76,9 @@
 }
 
 /// A whole script for one director.
-pub fn director_script(shared: &str, size: &Size, me: u32, roster: SocketAddr, cache: &Path) -> String {
+pub fn director_script(
+    shared: &str, size: &DaySettings, me: u32, roster: SocketAddr, cache: &Path,
+) -> String {
     let zone = &size.zones[me as usize % size.zones.len()];
     format!(
         "{shared}director(me = {me}, of = {of}, zone = {zone:?}, listen = \"127.0.0.1:0\", max_setups = 3, \
@@ -84,7 +89,7 @@
 }
 
 /// Titles and where they lie.
-pub fn titles(size: &Size) -> Vec<RosterTitle> {
+pub fn titles(size: &DaySettings) -> Vec<RosterTitle> {
     let cells = size.nodes as u16;
     let span = 5.min(cells);
     (0..40u16)
@@ -93,13 +98,13 @@
 }
 
 /// The nodes, as they would be with that seed.
-pub fn builds(size: &Size, rng: &mut Rng) -> Vec<Build> {
+pub fn node_configs(size: &DaySettings, rng: &mut Rng) -> Vec<NodeConfig> {
     let kinds = [("box-2c", 2.0, 26.0), ("box-3c", 3.0, 39.0)];
     (0..size.nodes)
         .map(|id| {
             let (kind, units, places) = kinds[usize::from(id % 3 != 0)];
             let link_kb = LINK_UNIT * units / 2.5 * (0.9 + 0.2 * rng.f64());
-            Build {
+            NodeConfig {
                 id,
                 zone: size.zones[(id * size.zones.len() as u32 / size.nodes) as usize].clone(),
                 kind: kind.to_owned(),
@@ -113,34 +118,34 @@
 }
 
 /// Nodes and roster at work.
-pub struct World {
+pub struct StandIns {
     pub nodes: Nodes,
     pub roster: Roster,
-    pub roster_at: SocketAddr,
+    pub roster_address: SocketAddr,
     pub recorder: Recorder,
 }
 
-impl World {
-    pub async fn start(size: &Size, shared: &str, recorder: Recorder) -> Result<World> {
-        World::with_titles(size, shared, recorder, titles(size)).await
+impl StandIns {
+    pub async fn start(size: &DaySettings, shared: &str, recorder: Recorder) -> Result<StandIns> {
+        StandIns::with_titles(size, shared, recorder, titles(size)).await
     }
 
     /// With other titles than the usual forty.
     pub async fn with_titles(
-        size: &Size, shared: &str, recorder: Recorder, titles: Vec<RosterTitle>,
-    ) -> Result<World> {
+        size: &DaySettings, shared: &str, recorder: Recorder, titles: Vec<RosterTitle>,
+    ) -> Result<StandIns> {
         let mut rng = Rng::with_seed(size.seed);
-        let (listener, roster_at) = Roster::bind().await?;
+        let (listener, roster_address) = Roster::bind().await?;
         let roster = Roster::new(titles, size.roster_lag, recorder.clone());
         // The settings as the checker reads them; the director's own lines do not matter there.
-        let any = director_script(shared, size, 0, roster_at, Path::new("list"));
-        let book = Deployment::parse("settings", &any)
+        let any = director_script(shared, size, 0, roster_address, Path::new("list"));
+        let deployment = Deployment::parse("settings", &any)
             .map_err(|f| anyhow::anyhow!(f.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")))?;
-        recorder.put(What::Settings { text: serde_json::to_string(&book)? });
-        let f = &book.fleet;
-        let terms = FleetTerms {
-            ladder: book.ladder.rates.clone(),
-            scales: book.groups.iter().map(|g| (g.name.clone(), g.scale)).collect(),
+        recorder.record(Event::Settings { text: serde_json::to_string(&deployment)? });
+        let f = &deployment.fleet;
+        let terms = FluidSettings {
+            ladder: deployment.ladder.rates.clone(),
+            scales: deployment.groups.iter().map(|g| (g.name.clone(), g.scale)).collect(),
             cold_from: f.cold_from,
             warm_within: f.warm_within,
             tip_multiple: f.tip_multiple,
@@ -148,74 +153,75 @@
             uplinks_told: f.uplinks_told,
         };
         let uplinks = (0..size.racks).map(|_| f.rack_uplink * (0.85 + 0.3 * rng.f64())).collect();
-        let fleet = Fleet::new(terms, uplinks, crate::record::now());
-        let telling = Telling { seen_after: f.seen_after, told_every: f.told_every, extra: 0.0 };
-        let nodes = Nodes::new(fleet, telling, recorder.clone(), roster.clone());
-        for build in builds(size, &mut rng) {
+        let fleet = FluidFleet::new(terms, uplinks, crate::record::now());
+        let notification_delays =
+            NotificationDelays { seen_after: f.seen_after, told_every: f.told_every, extra: 0.0 };
+        let nodes = Nodes::new(fleet, notification_delays, recorder.clone(), roster.clone());
+        for build in node_configs(size, &mut rng) {
             nodes.start(&build, true).await?;
         }
         tokio::spawn(roster.clone().serve(listener));
-        tokio::spawn(nodes.clone().flow());
-        Ok(World { nodes, roster, roster_at, recorder })
+        tokio::spawn(nodes.clone().run());
+        Ok(StandIns { nodes, roster, roster_address, recorder })
     }
 }
 
 /// Directors of a day: started, killed, stalled and started again.
-pub struct Fold {
+pub struct Processes {
     /// What is run as the daemon, by `director` and the daemon's own arguments.
     pub program: PathBuf,
-    pub directors: Directors,
+    pub directors: DirectorAddresses,
     children: Vec<Option<Daemon>>,
     boots: Vec<u32>,
     stalled: Vec<bool>,
-    size: Size,
+    size: DaySettings,
     shared: String,
-    roster_at: SocketAddr,
+    roster_address: SocketAddr,
     dir: PathBuf,
     recorder: Recorder,
     journal: bool,
     /// Where the day has schools.
     pub keeper: Option<KeeperProcess>,
-    pub issuing: Option<std::sync::Arc<Issuing>>,
+    pub token_issuer: Option<std::sync::Arc<TokenIssuer>>,
     /// Where the day has voters.
     pub agreeing: Option<Agreeing>,
 }
 
-impl Fold {
+impl Processes {
     pub fn new(
-        size: &Size, shared: &str, program: PathBuf, roster_at: SocketAddr, recorder: Recorder, dir: &Path,
-        journal: bool,
+        size: &DaySettings, shared: &str, program: PathBuf, roster_address: SocketAddr, recorder: Recorder,
+        dir: &Path, journal: bool,
     ) -> Self {
         let n = size.directors as usize;
-        Fold {
+        Processes {
             program,
-            directors: Directors::default(),
+            directors: DirectorAddresses::default(),
             children: (0..n).map(|_| None).collect(),
             boots: vec![0; n],
             stalled: vec![false; n],
             size: size.clone(),
             shared: shared.to_owned(),
-            roster_at,
+            roster_address,
             dir: dir.to_owned(),
             recorder,
             journal,
             keeper: None,
-            issuing: None,
+            token_issuer: None,
             agreeing: None,
         }
     }
 
     fn note(&self, d: usize, event: &str) {
         let (director, boot) = (d as u32, self.boots[d]);
-        self.recorder.put(What::Director { director, boot, event: event.to_owned() });
+        self.recorder.record(Event::Director { director, boot, event: event.to_owned() });
     }
 
     /// Starts the keeper and the issuing of tokens, where the day has schools; before any director.
     pub async fn start_keeper(&mut self) -> Result<()> {
         if self.size.schools > 0 {
-            self.issuing = Some(Issuing::new(&self.dir)?);
+            self.token_issuer = Some(TokenIssuer::new(&self.dir)?);
             self.keeper = Some(KeeperProcess::start(&self.program, &self.dir, &self.size).await?);
-            self.recorder.put(What::Schools { seats: self.size.seats });
+            self.recorder.record(Event::Schools { seats: self.size.seats });
         }
         Ok(())
     }
@@ -238,14 +244,14 @@
 
     /// Keys and keeper put in, where the day has schools.
     fn with_keeper(&self, script: String) -> String {
-        let (Some(keeper), Some(issuing)) = (&self.keeper, &self.issuing) else { return script };
+        let (Some(keeper), Some(token_issuer)) = (&self.keeper, &self.token_issuer) else { return script };
         script
-            .replace(tickets::KEYS, &issuing.keys().display().to_string())
-            .replace(tickets::KEEPER, &keeper.address)
+            .replace(schools::KEYS_PLACEHOLDER, &token_issuer.key_set_path().display().to_string())
+            .replace(schools::KEEPER_PLACEHOLDER, &keeper.address)
     }
 
     pub fn note_keeper(&self, event: &str) {
-        self.recorder.put(What::Keeper { event: event.to_owned() });
+        self.recorder.record(Event::Keeper { event: event.to_owned() });
     }
 
     pub fn script_path(&self, d: usize) -> PathBuf {
@@ -259,8 +265,10 @@
     pub async fn start(&mut self, d: usize) -> Result<SocketAddr> {
         let cache = self.dir.join(format!("director-{d}.list"));
         let script = match &self.agreeing {
-            Some(agreeing) => agreeing.director_script(d as u32, &format!("d{d}"), self.roster_at, &cache),
-            None => director_script(&self.shared, &self.size, d as u32, self.roster_at, &cache),
+            Some(agreeing) => {
+                agreeing.director_script(d as u32, &format!("d{d}"), self.roster_address, &cache)
+            }
+            None => director_script(&self.shared, &self.size, d as u32, self.roster_address, &cache),
         };
         let script = self.with_keeper(script);
         let path = self.script_path(d);
--- a/crates/kelpdoor-lab/src/fluid.rs
+++ b/crates/kelpdoor-lab/src/fluid.rs
@@ -6,13 +6,13 @@
 use kelpdoor_rtsp::{LinkDemandHeader, LoadReportHeader};
 
 /// s; how fast the share that a node tells of follows the true one.
-const SMOOTH: f64 = 0.5;
+const SHARE_SMOOTHING_TIME: f64 = 0.5;
 /// s; a load report is refreshed so often.
-const REFRESH: f64 = 0.3;
+const REPORT_INTERVAL: f64 = 0.3;
 
 /// What all nodes have in common.
 #[derive(Clone, Debug)]
-pub struct FleetTerms {
+pub struct FluidSettings {
     pub ladder: Vec<f64>,
     /// Scale of each group's rates, by name.
     pub scales: BTreeMap<String, f64>,
@@ -58,26 +58,26 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Verdict {
+pub enum SetupDecision {
     /// Set up after so many seconds.
-    Goes(f64),
+    Accepted(f64),
     Full,
     /// Pushed over by too many SETUPs while cold.
-    Falls,
+    Overloaded,
 }
 
 #[derive(Debug)]
-pub struct Fleet {
-    pub terms: FleetTerms,
+pub struct FluidFleet {
+    pub terms: FluidSettings,
     pub nodes: BTreeMap<u32, Node>,
     pub uplinks: Vec<f64>,
     pub uplink_factor: Vec<f64>,
     /// By the node's id for it.
     pub streams: BTreeMap<String, Stream>,
-    held: BTreeMap<u32, usize>,
+    stream_counts: BTreeMap<u32, usize>,
     by_pipe: HashMap<(u64, String), String>,
-    asked_node: BTreeMap<u32, f64>,
-    asked_rack: Vec<f64>,
+    node_demand: BTreeMap<u32, f64>,
+    rack_demand: Vec<f64>,
     at: f64,
 }
 
@@ -86,19 +86,19 @@
     0.85 + f64::from(crc32fast::hash(title.as_bytes()) % 301) / 1000.0
 }
 
-impl Fleet {
-    pub fn new(terms: FleetTerms, uplinks: Vec<f64>, now: f64) -> Self {
+impl FluidFleet {
+    pub fn new(terms: FluidSettings, uplinks: Vec<f64>, now: f64) -> Self {
         let racks = uplinks.len();
-        Fleet {
+        FluidFleet {
             terms,
             nodes: BTreeMap::new(),
             uplinks,
             uplink_factor: vec![1.0; racks],
             streams: BTreeMap::new(),
-            held: BTreeMap::new(),
+            stream_counts: BTreeMap::new(),
             by_pipe: HashMap::new(),
-            asked_node: BTreeMap::new(),
-            asked_rack: vec![0.0; racks],
+            node_demand: BTreeMap::new(),
+            rack_demand: vec![0.0; racks],
             at: now,
         }
     }
@@ -110,12 +110,12 @@
         self.terms.ladder[usize::from(s.rung).min(top)] * scale * title_factor(&s.title)
     }
 
-    pub fn count(&self, node: u32) -> usize {
-        self.held.get(&node).copied().unwrap_or(0)
+    pub fn stream_count(&self, node: u32) -> usize {
+        self.stream_counts.get(&node).copied().unwrap_or(0)
     }
 
     pub fn insert(&mut self, id: String, stream: Stream) {
-        *self.held.entry(stream.node).or_default() += 1;
+        *self.stream_counts.entry(stream.node).or_default() += 1;
         self.by_pipe.insert((stream.conn, stream.pipe.clone()), id.clone());
         self.streams.insert(id, stream);
     }
@@ -123,29 +123,31 @@
     pub fn remove(&mut self, id: &str) -> Option<Stream> {
         let stream = self.streams.remove(id)?;
         self.by_pipe.remove(&(stream.conn, stream.pipe.clone()));
-        if let Some(held) = self.held.get_mut(&stream.node) {
+        if let Some(held) = self.stream_counts.get_mut(&stream.node) {
             *held -= 1;
         }
         Some(stream)
     }
 
     /// The node's id for what a connection set up under that name.
-    pub fn piped(&self, conn: u64, pipe: &str) -> Option<&String> {
+    pub fn stream_by_pipeline(&self, conn: u64, pipe: &str) -> Option<&String> {
         self.by_pipe.get(&(conn, pipe.to_owned()))
     }
 
     /// What is asked over what is given: of the node's link and of its rack's uplink.
-    pub fn asked(&self, node: u32) -> LinkDemandHeader {
+    pub fn link_demand(&self, node: u32) -> LinkDemandHeader {
         let Some(n) = self.nodes.get(&node) else { return LinkDemandHeader::default() };
-        let link = self.asked_node.get(&node).copied().unwrap_or(0.0) / (n.link_kb * n.link_factor).max(1e-9);
-        let uplink = self.asked_rack[n.rack] / (self.uplinks[n.rack] * self.uplink_factor[n.rack]).max(1e-9);
+        let link =
+            self.node_demand.get(&node).copied().unwrap_or(0.0) / (n.link_kb * n.link_factor).max(1e-9);
+        let uplink = self.rack_demand[n.rack] / (self.uplinks[n.rack] * self.uplink_factor[n.rack]).max(1e-9);
         LinkDemandHeader { link: Some(link), uplink: self.terms.uplinks_told.then_some(uplink) }
     }
 
     fn share_now(&self, node: u32) -> f64 {
         let Some(n) = self.nodes.get(&node).filter(|n| n.up && !n.silent) else { return 0.0 };
-        let link = self.asked_node.get(&node).copied().unwrap_or(0.0) / (n.link_kb * n.link_factor).max(1e-9);
-        let uplink = self.asked_rack[n.rack] / (self.uplinks[n.rack] * self.uplink_factor[n.rack]).max(1e-9);
+        let link =
+            self.node_demand.get(&node).copied().unwrap_or(0.0) / (n.link_kb * n.link_factor).max(1e-9);
+        let uplink = self.rack_demand[n.rack] / (self.uplinks[n.rack] * self.uplink_factor[n.rack]).max(1e-9);
         1.0 / link.max(uplink).max(1.0)
     }
 
@@ -155,8 +157,8 @@
         self.at = now;
         let shares: BTreeMap<u32, f64> = self.nodes.keys().map(|&n| (n, self.share_now(n))).collect();
         let rates: Vec<f64> = self.streams.values().map(|s| self.rate(s)).collect();
-        self.asked_node.clear();
-        self.asked_rack.iter_mut().for_each(|a| *a = 0.0);
+        self.node_demand.clear();
+        self.rack_demand.iter_mut().for_each(|a| *a = 0.0);
         for (s, rate) in self.streams.values_mut().zip(rates) {
             if s.playing {
                 let share = shares.get(&s.node).copied().unwrap_or(0.0);
@@ -164,16 +166,16 @@
                 s.asked_kb += rate * dt;
                 s.got_kb += rate * dt * share;
             }
-            *self.asked_node.entry(s.node).or_default() += rate;
+            *self.node_demand.entry(s.node).or_default() += rate;
             if let Some(n) = self.nodes.get(&s.node) {
-                self.asked_rack[n.rack] += rate;
+                self.rack_demand[n.rack] += rate;
             }
         }
         let mut reports = Vec::new();
         for (&id, n) in &self.nodes {
-            if now - n.reported_at >= REFRESH {
-                let asked = self.asked(id);
-                let streams = Some(self.count(id) as f64);
+            if now - n.reported_at >= REPORT_INTERVAL {
+                let asked = self.link_demand(id);
+                let streams = Some(self.stream_count(id) as f64);
                 reports.push((id, LoadReportHeader { streams, link: asked.link, uplink: asked.uplink }));
             }
         }
@@ -184,7 +186,7 @@
         }
         let shares: BTreeMap<u32, f64> = self.nodes.keys().map(|&n| (n, self.share_now(n))).collect();
         for (id, n) in &mut self.nodes {
-            n.share += (shares[id] - n.share) * (dt / SMOOTH).min(1.0);
+            n.share += (shares[id] - n.share) * (dt / SHARE_SMOOTHING_TIME).min(1.0);
         }
     }
 
@@ -196,22 +198,22 @@
     }
 
     /// A SETUP came to a node.
-    pub fn setup(&mut self, now: f64, node: u32) -> Verdict {
-        let (warmth, held) = (self.warmth(node, now), self.count(node) as f64);
+    pub fn setup(&mut self, now: f64, node: u32) -> SetupDecision {
+        let (warmth, held) = (self.warmth(node, now), self.stream_count(node) as f64);
         let (window, tip, warm) = (self.terms.fall_window, self.terms.tip_multiple, self.terms.warm_within);
-        let Some(n) = self.nodes.get_mut(&node) else { return Verdict::Full };
+        let Some(n) = self.nodes.get_mut(&node) else { return SetupDecision::Full };
         n.setups.push_back(now);
         while n.setups.front().is_some_and(|t| *t < now - window) {
             n.setups.pop_front();
         }
         let cold = now < n.started + warm;
         if cold && n.setups.len() as f64 > (tip * window * warmth * n.places / warm).max(1.0) {
-            return Verdict::Falls;
+            return SetupDecision::Overloaded;
         }
         if held + 1.0 > n.places || n.draining {
-            return Verdict::Full;
+            return SetupDecision::Full;
         }
-        Verdict::Goes((0.01 + 0.04 * held / n.places.max(1.0)) * n.setup_factor / warmth.max(0.2))
+        SetupDecision::Accepted((0.01 + 0.04 * held / n.places.max(1.0)) * n.setup_factor / warmth.max(0.2))
     }
 }
 
--- a/crates/kelpdoor-lab/src/fluid/tests.rs
+++ b/crates/kelpdoor-lab/src/fluid/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn fleet() -> Fleet {
-    let terms = FleetTerms {
+fn fleet() -> FluidFleet {
+    let terms = FluidSettings {
         ladder: vec![100.0, 200.0],
         scales: BTreeMap::new(),
         cold_from: 0.5,
@@ -10,7 +10,7 @@
         fall_window: 1.0,
         uplinks_told: true,
     };
-    let mut fleet = Fleet::new(terms, vec![300.0], 0.0);
+    let mut fleet = FluidFleet::new(terms, vec![300.0], 0.0);
     for id in 0..2 {
         let node = Node {
             up: true,
@@ -57,7 +57,7 @@
     fleet.insert("b".into(), stream(0, 0));
     fleet.tick(0.0);
     fleet.tick(1.0);
-    let got = |f: &Fleet, k: &str| f.streams[k].got_kb / f.streams[k].asked_kb;
+    let got = |f: &FluidFleet, k: &str| f.streams[k].got_kb / f.streams[k].asked_kb;
     let share = (200.0 / (300.0 * by)).min(1.0);
     assert!((got(&fleet, "a") - share).abs() < 1e-9 && (got(&fleet, "b") - share).abs() < 1e-9);
     fleet.insert("c".into(), stream(1, 1));
@@ -74,6 +74,6 @@
     let mut fleet = fleet();
     fleet.nodes.get_mut(&0).unwrap().started = 0.0;
     // 2 x 1 s x 0.5 warm x 10 places / 10 s = 1 a window.
-    assert!(matches!(fleet.setup(0.1, 0), Verdict::Goes(_)));
-    assert_eq!(fleet.setup(0.2, 0), Verdict::Falls);
+    assert!(matches!(fleet.setup(0.1, 0), SetupDecision::Accepted(_)));
+    assert_eq!(fleet.setup(0.2, 0), SetupDecision::Overloaded);
 }
--- a/crates/kelpdoor-lab/src/load.rs
+++ b/crates/kelpdoor-lab/src/load.rs
@@ -17,10 +17,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, interval, sleep_until};
 
-use crate::fleet::{World, director_script, settings};
-use crate::player::Socket;
+use crate::fleet::{StandIns, director_script, settings};
+use crate::player::PlayerSocket;
 use crate::record::Recorder;
-use crate::trouble::Size;
+use crate::trouble::DaySettings;
 
 #[derive(Clone, Debug)]
 pub struct Load {
@@ -88,7 +88,7 @@
 
 /// One socket's part of the load, until dropped.
 async fn drive(me: u32, address: SocketAddr, load: Load, tally: Arc<Mutex<Tally>>) -> Result<()> {
-    let mut socket = Socket::open(&Recorder::none(), me, (0, address, 1)).await?;
+    let mut socket = PlayerSocket::open(&Recorder::disabled(), me, (0, address, 1)).await?;
     let mut every = interval(Duration::from_secs_f64(f64::from(load.sockets) / load.rate));
     let mut out: std::collections::HashMap<RequestKey, Instant> = Default::default();
     let mut held: VecDeque<(Instant, RequestKey)> = VecDeque::new();
@@ -113,14 +113,14 @@
                     setup_timeout: 3.0, token: None };
                 out.insert(key, Instant::now());
                 with(&|t| t.started += 1);
-                socket.say(&start).await?;
+                socket.send(&start).await?;
             }
             () = sleep_until(stop_at.unwrap_or_else(Instant::now)), if stop_at.is_some() => {
                 if let Some((_, key)) = held.pop_front() {
-                    socket.say(&FromPlayer::Stop { key }).await?;
+                    socket.send(&FromPlayer::Stop { key }).await?;
                 }
             }
-            heard = socket.hear() => {
+            heard = socket.receive() => {
                 let heard = heard.context("the socket was closed")?;
                 let Some(began) = heard.key().filter(|_| heard.is_final()).and_then(|k| out.remove(k)) else {
                     continue;
@@ -144,7 +144,13 @@
 impl Load {
     async fn measure(&self, program: &Path, relay: bool) -> Result<Measured> {
         let dir = tempfile::tempdir()?;
-        let size = Size { nodes: self.nodes, racks: 4, directors: 1, roster_lag: 0.0, ..Size::default() };
+        let size = DaySettings {
+            nodes: self.nodes,
+            racks: 4,
+            directors: 1,
+            roster_lag: 0.0,
+            ..DaySettings::default()
+        };
         // Places and links for all that is held, so that what is measured is the way, not a shortage.
         let each = (self.rate * self.hold / f64::from(self.nodes) * 2.0).ceil();
         let shared = settings(&size, "")
@@ -158,8 +164,8 @@
                 "players(remember = 5, messages_a_second = 1000, sessions = 200000)",
             );
         let shared = fix_uplink(&shared, each * 800.0 * f64::from(self.nodes));
-        let world = World::start(&size, &shared, Recorder::none()).await?;
-        world.nodes.with_fleet(|f| {
+        let stand_ins = StandIns::start(&size, &shared, Recorder::disabled()).await?;
+        stand_ins.nodes.with_fleet(|f| {
             for n in f.nodes.values_mut() {
                 (n.setup_factor, n.places, n.link_kb) = (0.0, each, each * 800.0);
             }
@@ -167,7 +173,7 @@
         let script = dir.path().join("director.star");
         std::fs::write(
             &script,
-            director_script(&shared, &size, 0, world.roster_at, &dir.path().join("list")),
+            director_script(&shared, &size, 0, stand_ins.roster_address, &dir.path().join("list")),
         )?;
         let what: &[&str] = if relay { &["relay"] } else { &["director", "serve", "--log-filter", "warn"] };
         let mut arguments: Vec<&std::ffi::OsStr> = what.iter().map(AsRef::as_ref).collect();
@@ -194,7 +200,7 @@
         tally.lock().unwrap_or_else(|e| e.into_inner()).on = true;
         tokio::time::sleep(Duration::from_secs_f64(self.seconds)).await;
         let after = usage(pid)?;
-        let held = world.nodes.with_fleet(|f| f.streams.values().filter(|s| s.playing).count()) as u64;
+        let held = stand_ins.nodes.with_fleet(|f| f.streams.values().filter(|s| s.playing).count()) as u64;
         if let Some(Ok(Err(e))) = sockets.try_join_next() {
             return Err(e.context("a socket of the load"));
         }
--- a/crates/kelpdoor-lab/src/main.rs
+++ b/crates/kelpdoor-lab/src/main.rs
@@ -13,11 +13,11 @@
 use kelpdoor_lab::agreed::{Judged, judge};
 use kelpdoor_lab::chaos::{self, Scale};
 use kelpdoor_lab::check::{Verdict, check};
-use kelpdoor_lab::day::{self, Stage};
-use kelpdoor_lab::fleet::{Fold, ODD, World, settings};
+use kelpdoor_lab::day::{self, TroubleRunner};
+use kelpdoor_lab::fleet::{ODD_SETTINGS, Processes, StandIns, settings};
 use kelpdoor_lab::record::{self, Recorder};
 use kelpdoor_lab::scale;
-use kelpdoor_lab::trouble::Script;
+use kelpdoor_lab::trouble::TroubleScript;
 use kelpdoor_tokens::{Audience, Claims};
 use tokio::io::AsyncBufReadExt;
 use tokio::sync::{Mutex, Semaphore};
@@ -150,11 +150,11 @@
     Check { script: PathBuf },
 }
 
-fn script_of(path: Option<&Path>, short: bool) -> Result<Script> {
+fn script_of(path: Option<&Path>, short: bool) -> Result<TroubleScript> {
     let read = match path {
-        Some(path) => Script::read(path),
-        None if short => Script::run("short-day.star", day::SHORT),
-        None => Script::run("bad-day.star", day::DEFAULT),
+        Some(path) => TroubleScript::read(path),
+        None if short => TroubleScript::parse("short-day.star", day::SHORT_SCRIPT),
+        None => TroubleScript::parse("bad-day.star", day::DEFAULT_SCRIPT),
     };
     read.map_err(|faults| {
         anyhow::anyhow!(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
@@ -169,18 +169,18 @@
 fn show(v: &Verdict) {
     let mut table = Table::new();
     let rows = [
-        ("viewers", v.wishes.to_string()),
+        ("viewers", v.viewers.to_string()),
         ("sessions asked for", v.starts.to_string()),
         ("playing, busy, failed", format!("{}, {}, {}", v.playing, v.busy, v.failed)),
         ("no answer in time, director down or stalled", v.excused.to_string()),
         ("SETUPs, of them further", format!("{}, {}", v.setups, v.further)),
         ("rung changes", v.rung_changes.to_string()),
         ("start time, median and 99 in 100", times(&v.start_times)),
-        ("the same with a token", times(&v.ticket_times)),
-        ("most of a cold node's limit used", format!("{:.0} %", 100.0 * v.cold_use)),
-        ("tokens, sessions played with them", format!("{}, {}", v.tokens, v.ticketed)),
+        ("the same with a token", times(&v.token_start_times)),
+        ("most of a cold node's limit used", format!("{:.0} %", 100.0 * v.max_cold_load)),
+        ("tokens, sessions played with them", format!("{}, {}", v.tokens, v.token_sessions)),
         ("most seats of a school in use, of", format!("{}, {}", v.seats_used.0, v.seats_used.1)),
-        ("cold nodes pushed over", v.falls.to_string()),
+        ("cold nodes pushed over", v.cold_overloads.to_string()),
         ("service", format!("{:.3}", v.service)),
     ];
     for (name, value) in rows {
@@ -200,16 +200,16 @@
         "nothing for viewers that have gone",
     ];
     for (k, name) in names.iter().enumerate() {
-        let count = v.broken.iter().filter(|b| usize::from(b.rule) == k + 1).count();
+        let count = v.violations.iter().filter(|b| usize::from(b.rule) == k + 1).count();
         rules.add_row([(k + 1).to_string(), (*name).to_owned(), count.to_string()]);
     }
     println!("{rules}");
-    for b in v.broken.iter().take(20) {
+    for b in v.violations.iter().take(20) {
         println!("rule {} broken, line {} of the record: {}", b.rule, b.line, b.what);
     }
 }
 
-async fn bad_day(script: Script, odd: bool, keep: Option<PathBuf>) -> Result<bool> {
+async fn bad_day(script: TroubleScript, odd: bool, keep: Option<PathBuf>) -> Result<bool> {
     let temporary = tempfile::tempdir()?;
     let dir = keep.unwrap_or_else(|| temporary.path().to_owned());
     std::fs::create_dir_all(&dir)?;
@@ -219,10 +219,11 @@
         ProgressBar::hidden()
     };
     bar.set_style(ProgressStyle::with_template("{elapsed} {bar:40} {pos} of {len} s")?);
-    let over = day::run(&script, if odd { ODD } else { "" }, &std::env::current_exe()?, &dir, false, |t| {
-        bar.set_position(t as u64)
-    })
-    .await?;
+    let over =
+        day::run(&script, if odd { ODD_SETTINGS } else { "" }, &std::env::current_exe()?, &dir, false, |t| {
+            bar.set_position(t as u64)
+        })
+        .await?;
     bar.finish_and_clear();
     let lines = record::read(&over.record)?;
     let verdict = check(&lines);
@@ -238,10 +239,10 @@
             .for_each(|(n, what)| println!("agreement broken, line {n} of the record: {what}"));
         agreed = judged.broken.is_empty();
     }
-    if !over.ended_well {
+    if !over.exited_cleanly {
         println!("a director did not end well; its log is in {}", dir.display());
     }
-    Ok(verdict.broken.is_empty() && agreed && over.ended_well)
+    Ok(verdict.violations.is_empty() && agreed && over.exited_cleanly)
 }
 
 fn show_agreed(j: &Judged) {
@@ -312,14 +313,14 @@
 }
 
 /// Does the troubles of a line, now.
-fn live(stage: &Stage, line: &str) {
-    let size = serde_json::to_value(&stage.script.size).unwrap_or_default();
+fn live(runner: &TroubleRunner, line: &str) {
+    let size = serde_json::to_value(&runner.script.size).unwrap_or_default();
     let day: Vec<String> =
         size.as_object().into_iter().flatten().map(|(k, v)| format!("{k} = {v}")).collect();
-    match Script::run("input", &format!("day({}); {line}", day.join(", "))) {
+    match TroubleScript::parse("input", &format!("day({}); {line}", day.join(", "))) {
         Ok(script) => script.troubles.into_iter().for_each(|(kind, t)| {
-            let stage = stage.clone();
-            tokio::spawn(async move { stage.act(kind, &t).await });
+            let runner = runner.clone();
+            tokio::spawn(async move { runner.apply(kind, &t).await });
         }),
         Err(faults) => faults.iter().for_each(|f| println!("{f}")),
     }
@@ -330,26 +331,26 @@
     let mut script = script_of(None, true)?;
     script.size.directors = 2;
     let shared = settings(&script.size, "");
-    let world = World::start(&script.size, &shared, Recorder::none()).await?;
-    let mut fold = Fold::new(
+    let stand_ins = StandIns::start(&script.size, &shared, Recorder::disabled()).await?;
+    let mut processes = Processes::new(
         &script.size,
         &shared,
         std::env::current_exe()?,
-        world.roster_at,
-        Recorder::none(),
+        stand_ins.roster_address,
+        Recorder::disabled(),
         dir.path(),
         false,
     );
-    fold.start_keeper().await?;
-    fold.start_voters().await?;
+    processes.start_keeper().await?;
+    processes.start_voters().await?;
     for d in 0..2 {
-        println!("director {d}: ws://{}/", fold.start(d).await?);
+        println!("director {d}: ws://{}/", processes.start(d).await?);
     }
     println!(
         "subprotocol kelpdoor.session.v1; groups lecture, story, reading, paid; titles title-00 to title-39"
     );
-    if let (Some(keeper), Some(issuing)) = (&fold.keeper, &fold.issuing) {
-        let token = issuing.token(&kelpdoor_lab::tickets::school(0), "by-hand", 600.0)?;
+    if let (Some(keeper), Some(token_issuer)) = (&processes.keeper, &processes.token_issuer) {
+        let token = token_issuer.token(&kelpdoor_lab::schools::school_name(0), "by-hand", 600.0)?;
         println!("group ticket needs a token, as this one, good for ten minutes: {token}");
         println!("keeper of seats: {}, for kelpdoord seats --keeper", keeper.address);
     }
@@ -357,9 +358,13 @@
     println!(
         "a line of a trouble script does that trouble now, as in: crash(at = 0, nodes = [2], lasts = 5)"
     );
-    let agreeing = fold.agreeing.clone();
-    let stage =
-        Stage { world: world.into(), fold: Arc::new(Mutex::new(fold)), script: Arc::new(script), agreeing };
+    let agreeing = processes.agreeing.clone();
+    let runner = TroubleRunner {
+        stand_ins: stand_ins.into(),
+        processes: Arc::new(Mutex::new(processes)),
+        script: Arc::new(script),
+        agreeing,
+    };
     let mut lines = tokio::io::BufReader::new(tokio::io::stdin()).lines();
     let mut open = true;
     loop {
@@ -370,13 +375,13 @@
             }
             line = lines.next_line(), if open => match line? {
                 None => open = false,
-                Some(line) => live(&stage, &line),
+                Some(line) => live(&runner, &line),
             },
         }
     }
-    let mut fold = stage.fold.lock().await;
+    let mut processes = runner.processes.lock().await;
     for d in 0..2 {
-        fold.end(d).await?;
+        processes.end(d).await?;
     }
     Ok(())
 }
@@ -419,7 +424,10 @@
         Act::Relay { config } => kelpdoor_lab::relay::run(&config).await.map(|()| true),
         Act::Trouble { what: TroubleAct::FromDay { day } } => {
             let text = std::fs::read_to_string(&day).with_context(|| day.display().to_string())?;
-            print!("{}", kelpdoor_lab::fromday::script(&text).with_context(|| day.display().to_string())?);
+            print!(
+                "{}",
+                kelpdoor_lab::drawn_day::to_script(&text).with_context(|| day.display().to_string())?
+            );
             Ok(true)
         }
         Act::Trouble { what: TroubleAct::Check { script } } => {
@@ -432,7 +440,7 @@
             let aud = Audience::One(audience);
             let claims =
                 Claims { aud, school, group, seat_class, jti: id, iat: now, nbf: None, exp: now + lasts };
-            let issuer = kelpdoor_lab::tickets::kept_issuer(&keys)?;
+            let issuer = kelpdoor_lab::schools::load_or_create_issuer(&keys)?;
             println!("{}", issuer.sign(&claims).map_err(|e| anyhow::anyhow!(e))?);
             Ok(true)
         }
@@ -447,7 +455,7 @@
             }
             let verdict = check(&lines);
             show(&verdict);
-            Ok(verdict.broken.is_empty())
+            Ok(verdict.violations.is_empty())
         }
     }
 }
--- a/crates/kelpdoor-lab/src/node.rs
+++ b/crates/kelpdoor-lab/src/node.rs
@@ -12,13 +12,13 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, JoinSet};
 
-use crate::fluid::{Fleet, Node, Stream, Verdict};
-use crate::record::{Recorder, What, now};
+use crate::fluid::{FluidFleet, Node, SetupDecision, Stream};
+use crate::record::{Event, Recorder, now};
 use crate::roster::Roster;
 
 /// How a stand-in is built.
 #[derive(Clone, Debug)]
-pub struct Build {
+pub struct NodeConfig {
     pub id: u32,
     pub zone: String,
     pub kind: String,
@@ -30,7 +30,7 @@
 
 /// How late the nodes tell things, s.
 #[derive(Clone, Copy, Debug)]
-pub struct Telling {
+pub struct NotificationDelays {
     pub seen_after: f64,
     pub told_every: f64,
     /// More of the same, by trouble.
@@ -57,10 +57,10 @@
 type Fields = Vec<(&'static str, String)>;
 
 struct State {
-    fleet: Fleet,
-    builds: BTreeMap<u32, Build>,
+    fleet: FluidFleet,
+    builds: BTreeMap<u32, NodeConfig>,
     processes: BTreeMap<u32, Process>,
-    telling: Telling,
+    notification_delays: NotificationDelays,
     next: u64,
     /// What is to be told, and when.
     due: BTreeMap<(u64, u64), Told>,
@@ -77,12 +77,14 @@
 }
 
 impl Nodes {
-    pub fn new(fleet: Fleet, telling: Telling, recorder: Recorder, roster: Roster) -> Self {
+    pub fn new(
+        fleet: FluidFleet, notification_delays: NotificationDelays, recorder: Recorder, roster: Roster,
+    ) -> Self {
         let state = State {
             fleet,
             builds: BTreeMap::new(),
             processes: BTreeMap::new(),
-            telling,
+            notification_delays,
             next: 1,
             due: BTreeMap::new(),
         };
@@ -93,21 +95,21 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    pub fn with_fleet<T>(&self, act: impl FnOnce(&mut Fleet) -> T) -> T {
+    pub fn with_fleet<T>(&self, act: impl FnOnce(&mut FluidFleet) -> T) -> T {
         act(&mut self.lock().fleet)
     }
 
-    pub fn telling(&self, act: impl FnOnce(&mut Telling)) {
-        act(&mut self.lock().telling);
+    pub fn notification_delays(&self, act: impl FnOnce(&mut NotificationDelays)) {
+        act(&mut self.lock().notification_delays);
     }
 
     /// Nodes to which a connection stands.
-    pub fn linked(&self) -> usize {
+    pub fn connected_nodes(&self) -> usize {
         self.lock().processes.values().filter(|p| !p.conns.is_empty()).count()
     }
 
     /// Starts a node's process, cold unless `warm`, and lists it.
-    pub async fn start(&self, build: &Build, warm: bool) -> Result<SocketAddr> {
+    pub async fn start(&self, build: &NodeConfig, warm: bool) -> Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let t = now();
@@ -133,7 +135,13 @@
             s.fleet.nodes.insert(build.id, node);
             s.builds.insert(build.id, build.clone());
             let (zone, cell) = (build.zone.clone(), build.cell);
-            self.recorder.put(What::NodeUp { node: build.id, cold: !warm, places: build.places, zone, cell });
+            self.recorder.record(Event::NodeUp {
+                node: build.id,
+                cold: !warm,
+                places: build.places,
+                zone,
+                cell,
+            });
             let task = tokio::spawn(self.clone().serve(build.id, listener)).abort_handle();
             s.processes.insert(build.id, Process { task, conns: BTreeMap::new() });
         }
@@ -165,7 +173,7 @@
     pub fn kill(&self, id: u32, why: &str) {
         let mut s = self.lock();
         let Some(process) = s.processes.remove(&id) else { return };
-        self.recorder.put(What::NodeDown { node: id, why: why.to_owned() });
+        self.recorder.record(Event::NodeDown { node: id, why: why.to_owned() });
         process.task.abort();
         for conn in process.conns.into_values() {
             let _ = conn.stream.set_zero_linger();
@@ -200,12 +208,12 @@
             && x.playing
         {
             let share = if x.asked_kb > 0.0 { x.got_kb / x.asked_kb } else { 1.0 };
-            self.recorder.put(What::Stream { node: x.node, key: x.key, seconds: x.played, share });
+            self.recorder.record(Event::Stream { node: x.node, key: x.key, seconds: x.played, share });
         }
     }
 
     /// Lets the fluid flow and notices go out, until the task is dropped.
-    pub async fn flow(self) {
+    pub async fn run(self) {
         let mut every = tokio::time::interval(Duration::from_millis(50));
         let mut told = now();
         let mut short = now();
@@ -218,7 +226,7 @@
                 short = t;
                 self.tell_short(&mut s, t);
             }
-            if s.telling.told_every > 0.0 && t - told >= s.telling.told_every {
+            if s.notification_delays.told_every > 0.0 && t - told >= s.notification_delays.told_every {
                 told = t;
                 self.tell_load(&mut s, t);
             }
@@ -231,7 +239,7 @@
     }
 
     fn later(s: &mut State, t: f64, node: u32, conn: u64, rtsp: &str, with: Fields) {
-        let at = t + s.telling.seen_after + s.telling.extra;
+        let at = t + s.notification_delays.seen_after + s.notification_delays.extra;
         s.next += 1;
         let order = s.next;
         s.due.insert(((at * 1e6) as u64, order), (node, conn, rtsp.to_owned(), with));
@@ -266,7 +274,7 @@
     fn tell_load(&self, s: &mut State, t: f64) {
         let ids: Vec<u32> = s.fleet.nodes.keys().copied().collect();
         for id in ids {
-            let asked = s.fleet.asked(id).to_string();
+            let asked = s.fleet.link_demand(id).to_string();
             for (conn, rtsp) in Self::one_each(s, id) {
                 let with = vec![
                     (header_names::NOTIFY_REASON, notify_reasons::LINK_LOAD.to_owned()),
@@ -297,9 +305,9 @@
         }
         let Some(c) = s.processes.get(&node).and_then(|p| p.conns.get(&conn)) else { return };
         let bytes = message.to_bytes();
-        if self.recorder.kept() {
+        if self.recorder.is_enabled() {
             let text = String::from_utf8_lossy(&bytes).into_owned();
-            self.recorder.put(What::Node { node, conn, got: false, text });
+            self.recorder.record(Event::Node { node, conn, got: false, text });
         }
         let _ = c.out.send(bytes);
     }
@@ -340,7 +348,7 @@
             if let Some(p) = s.processes.get_mut(&node) {
                 p.conns.insert(conn, Conn { stream, out, task, cseq: 0, short: false });
             }
-            self.recorder.put(What::NodeConn { node, conn, open: true });
+            self.recorder.record(Event::NodeConn { node, conn, open: true });
         }
     }
 
@@ -350,7 +358,7 @@
         if s.processes.get_mut(&node).and_then(|p| p.conns.remove(&conn)).is_none() {
             return;
         }
-        self.recorder.put(What::NodeConn { node, conn, open: false });
+        self.recorder.record(Event::NodeConn { node, conn, open: false });
         let over: Vec<String> =
             s.fleet.streams.iter().filter(|(_, x)| x.conn == conn).map(|(k, _)| k.clone()).collect();
         over.iter().for_each(|rtsp| self.over(&mut s, rtsp));
@@ -362,9 +370,9 @@
             loop {
                 match parse(&buf) {
                     Ok(Some((message, len))) => {
-                        if self.recorder.kept() {
+                        if self.recorder.is_enabled() {
                             let text = String::from_utf8_lossy(&buf[..len]).into_owned();
-                            self.recorder.put(What::Node { node, conn, got: true, text });
+                            self.recorder.record(Event::Node { node, conn, got: true, text });
                         }
                         buf.drain(..len);
                         if let Message::Request(request) = message {
@@ -398,7 +406,7 @@
         let answer = |status: u16| Response::new(status, r.cseq).with(header_names::LOAD_REPORT, &load);
         let by_pipe = |s: &State| {
             let pipe = r.headers.get(header_names::PIPELINED)?;
-            s.fleet.piped(conn, pipe).cloned()
+            s.fleet.stream_by_pipeline(conn, pipe).cloned()
         };
         let named = |s: &State| {
             let id = r.headers.get(header_names::SESSION)?;
@@ -406,16 +414,16 @@
         };
         match r.method {
             Method::Setup => match s.fleet.setup(t, node) {
-                Verdict::Falls => {
+                SetupDecision::Overloaded => {
                     drop(s);
                     self.fell.send_modify(|n| *n += 1);
                     self.kill(node, "pushed over while cold");
                 }
-                Verdict::Full => {
+                SetupDecision::Full => {
                     let full = answer(453).with(header_names::RETRY_AFTER, 1);
                     self.send(&mut s, node, conn, &full.into());
                 }
-                Verdict::Goes(wait) => {
+                SetupDecision::Accepted(wait) => {
                     s.next += 1;
                     let rtsp = format!("{node}-{}", s.next);
                     let get = |name| r.headers.get(name).unwrap_or("").to_owned();
@@ -460,7 +468,7 @@
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_secs_f64(wait + 0.001)).await;
                     let mut s = me.lock();
-                    let asked = s.fleet.asked(node).to_string();
+                    let asked = s.fleet.link_demand(node).to_string();
                     let there = s.fleet.streams.get_mut(&id).map(|x| x.playing = true).is_some();
                     let answer = Response::new(if there { 200 } else { 454 }, cseq);
                     let answer = answer.with(header_names::SESSION, &id).with(header_names::ASKED, asked);
--- a/crates/kelpdoor-lab/src/platform.rs
+++ b/crates/kelpdoor-lab/src/platform.rs
@@ -24,7 +24,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::record::{Recorder, What, now};
+use crate::record::{Event, Recorder, now};
 
 /// s; a connection that is reset, a late turn of this process.
 const SLACK: f64 = 0.25;
@@ -299,12 +299,12 @@
         };
         viewers::ready(port).await.with_context(|| format!("director {d} is not ready"))?;
         self.lock().directors[d as usize].ending = false;
-        self.recorder.put(What::Director { director: d, boot, event: "started".into() });
+        self.recorder.record(Event::Director { director: d, boot, event: "started".into() });
         // What the configuration told it.
         let nodes =
             self.lock().nodes.iter().map(|(&id, n)| feed::line_for_checker(id, n)).collect::<Vec<_>>();
         let text = json!({"whole": {"nodes": nodes}}).to_string();
-        self.recorder.put(What::Roster { director: d, text });
+        self.recorder.record(Event::Roster { director: d, text });
         Ok(())
     }
 
@@ -327,7 +327,7 @@
             (of.child.take(), of.boot)
         };
         if let Some(mut child) = child {
-            self.recorder.put(What::Director { director: d, boot, event: "killed".into() });
+            self.recorder.record(Event::Director { director: d, boot, event: "killed".into() });
             let _ = child.kill().await;
         }
         self.forget(d);
@@ -356,7 +356,7 @@
             (of.child.take(), of.boot)
         };
         let Some(mut child) = child else { return };
-        self.recorder.put(What::Director { director: d, boot, event: "ending".into() });
+        self.recorder.record(Event::Director { director: d, boot, event: "ending".into() });
         if let Some(id) = child.id().and_then(|id| i32::try_from(id).ok()) {
             let _ = kill(Pid::from_raw(id), Signal::SIGTERM);
         }
@@ -375,7 +375,7 @@
     }
 
     async fn act(&self, what: Happens) -> Result<()> {
-        self.recorder.put(What::Trouble { text: format!("{what:?}") });
+        self.recorder.record(Event::Trouble { text: format!("{what:?}") });
         match what {
             Happens::Faults(faults) => self.lock().faults = faults,
             Happens::Kill(id) => self.node_down(id, "killed"),
@@ -433,7 +433,7 @@
 /// # Errors
 /// Where a stand-in cannot listen or a director not be started.
 pub async fn play(day: Day, program: PathBuf, dir: &Path, recorder: Recorder) -> Result<Told> {
-    recorder.put(What::Settings { text: terms().to_string() });
+    recorder.record(Event::Settings { text: terms().to_string() });
     let mut rng = Rng::with_seed(day.seed);
     let platform = Platform {
         state: Arc::default(),
--- a/crates/kelpdoor-lab/src/platform/feed.rs
+++ b/crates/kelpdoor-lab/src/platform/feed.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 use super::{NodeState, Platform};
-use crate::record::What;
+use crate::record::Event;
 
 /// What becomes of an open stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -77,7 +77,7 @@
             let Some(n) = s.nodes.get(&id) else { return };
             let text = json!({"change": {"nodes": [line_for_checker(id, n)]}}).to_string();
             for (d, _) in s.directors.iter().enumerate().filter(|(_, of)| of.child.is_some()) {
-                me.recorder.put(What::Roster { director: d as u32, text: text.clone() });
+                me.recorder.record(Event::Roster { director: d as u32, text: text.clone() });
             }
         });
     }
@@ -147,7 +147,7 @@
                     ids.filter_map(|id| Some(line_for_checker(id, s.nodes.get(&id)?))).collect()
                 };
                 let text = json!({"change": {"nodes": hosts}}).to_string();
-                self.recorder.put(What::Roster { director, text });
+                self.recorder.record(Event::Roster { director, text });
             }
             match timeout(Duration::from_secs(1), turns.recv()).await {
                 Err(_) => stream.get_mut().write_all(b": still here\n\n").await?,
--- a/crates/kelpdoor-lab/src/platform/node.rs
+++ b/crates/kelpdoor-lab/src/platform/node.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use super::{NodeState, PLACES, Platform, SLACK, Stand};
-use crate::record::{What, now};
+use crate::record::{Event, now};
 
 /// What a node's connection is told.
 pub enum Out {
@@ -31,7 +31,7 @@
 
 impl Platform {
     fn put(&self, node: u32, conn: u64, got: bool, text: String) {
-        self.recorder.put(What::Node { node, conn, got, text });
+        self.recorder.record(Event::Node { node, conn, got, text });
     }
 
     pub(super) async fn add_node(&self, id: u32) -> Result<()> {
@@ -62,7 +62,7 @@
 
     fn listen(&self, id: u32, listeners: Vec<(u32, TcpListener)>, cold: bool) {
         let zone = "one".to_owned();
-        self.recorder.put(What::NodeUp { node: id, cold, places: PLACES, zone, cell: id as u16 });
+        self.recorder.record(Event::NodeUp { node: id, cold, places: PLACES, zone, cell: id as u16 });
         for (d, listener) in listeners {
             let me = self.clone();
             let task = tokio::spawn(async move {
@@ -79,7 +79,7 @@
 
     /// The process is gone: connections are reset, sessions cut.
     pub(super) fn node_down(&self, id: u32, why: &str) {
-        self.recorder.put(What::NodeDown { node: id, why: why.to_owned() });
+        self.recorder.record(Event::NodeDown { node: id, why: why.to_owned() });
         let mut s = self.lock();
         let Some(n) = s.nodes.get_mut(&id) else { return };
         (n.up, n.vanished) = (false, false);
@@ -123,7 +123,7 @@
             });
             ports
         };
-        self.recorder.put(What::NodeDown { node: id, why: "vanished".into() });
+        self.recorder.record(Event::NodeDown { node: id, why: "vanished".into() });
         // A full backlog drops what asks for a connection.
         for port in ports {
             let me = self.clone();
--- a/crates/kelpdoor-lab/src/platform/viewers.rs
+++ b/crates/kelpdoor-lab/src/platform/viewers.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::{Platform, Wait};
-use crate::record::What;
+use crate::record::Event;
 
 /// s; how long viewers wait for an answer.
 const LEFT: f64 = 2.0;
@@ -87,7 +87,7 @@
                 s.told.started += 1;
             }
             let start = json!({"type": "start", "key": tag, "group": class, "setup_timeout": LEFT + EXTRA});
-            self.recorder.put(What::Player {
+            self.recorder.record(Event::Player {
                 player: 0,
                 director,
                 boot,
@@ -136,7 +136,7 @@
         });
         let Some((director, boot)) = of else { return };
         let text = json!({"type": "leave", "key": tag}).to_string();
-        self.recorder.put(What::Player { player: 0, director, boot, got: false, text });
+        self.recorder.record(Event::Player { player: 0, director, boot, got: false, text });
         if how == 0 {
             sleep(Duration::from_millis(50)).await;
         }
@@ -182,7 +182,7 @@
         }
         drop(s);
         let text = json!({"type": kind, "key": tag}).to_string();
-        self.recorder.put(What::Player { player: 0, director, boot, got: true, text });
+        self.recorder.record(Event::Player { player: 0, director, boot, got: true, text });
     }
 
     /// Bad viewers, one after the other, each judged on its own.
--- a/crates/kelpdoor-lab/src/player.rs
+++ b/crates/kelpdoor-lab/src/player.rs
@@ -17,18 +17,18 @@
 use tokio_tungstenite::tungstenite::{Error as WsError, Message};
 use tokio_tungstenite::{WebSocketStream, client_async_with_config};
 
-use crate::record::{Recorder, What};
-use crate::tickets::Issuing;
+use crate::record::{Event, Recorder};
+use crate::schools::TokenIssuer;
 
 /// A director's address, boot and zone.
-pub type Place = (SocketAddr, u32, String);
+pub type DirectorAddress = (SocketAddr, u32, String);
 
 /// Where directors listen now; `None` while one is down.
 #[derive(Clone, Default)]
-pub struct Directors(Arc<Mutex<Vec<Option<Place>>>>);
+pub struct DirectorAddresses(Arc<Mutex<Vec<Option<DirectorAddress>>>>);
 
-impl Directors {
-    pub fn set(&self, director: usize, at: Option<Place>) {
+impl DirectorAddresses {
+    pub fn set(&self, director: usize, at: Option<DirectorAddress>) {
         let mut all = self.0.lock().unwrap_or_else(|e| e.into_inner());
         if all.len() <= director {
             all.resize(director + 1, None);
@@ -60,7 +60,7 @@
 
 /// What one viewer wants.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct DesiredSession {
     pub player: u32,
     pub zone: String,
     pub group: String,
@@ -72,12 +72,12 @@
     /// Sends its request again while the answer is out, on the same socket or on a second one.
     pub retries: bool,
     pub second_socket: bool,
-    pub ticket: Option<Ticket>,
+    pub token_plan: Option<TokenPlan>,
 }
 
 /// A viewer's entitlement, shown with each request.
 #[derive(Clone, Debug)]
-pub struct Ticket {
+pub struct TokenPlan {
     pub school: String,
     /// s; of each token.
     pub lasts: f64,
@@ -87,7 +87,7 @@
 }
 
 /// A socket to a director, its messages recorded.
-pub struct Socket {
+pub struct PlayerSocket {
     ws: WebSocketStream<TcpStream>,
     recorder: Recorder,
     player: u32,
@@ -95,7 +95,7 @@
     boot: u32,
 }
 
-impl Socket {
+impl PlayerSocket {
     pub async fn open(
         recorder: &Recorder, player: u32, (director, address, boot): (u32, SocketAddr, u32),
     ) -> Result<Self, WsError> {
@@ -105,31 +105,31 @@
         request.headers_mut().insert(SEC_WEBSOCKET_PROTOCOL, HeaderValue::from_static(SUBPROTOCOL));
         let config = WebSocketConfig::default().read_buffer_size(1024).write_buffer_size(0);
         let (ws, _) = client_async_with_config(request, stream, Some(config)).await?;
-        let socket = Socket { ws, recorder: recorder.clone(), player, director, boot };
+        let socket = PlayerSocket { ws, recorder: recorder.clone(), player, director, boot };
         socket.note(true);
         Ok(socket)
     }
 
     fn note(&self, open: bool) {
         let (player, director, boot) = (self.player, self.director, self.boot);
-        self.recorder.put(What::PlayerSock { player, director, boot, open });
+        self.recorder.record(Event::PlayerSock { player, director, boot, open });
     }
 
     fn keep(&self, got: bool, text: &str) {
-        if self.recorder.kept() {
+        if self.recorder.is_enabled() {
             let (player, director, boot) = (self.player, self.director, self.boot);
-            self.recorder.put(What::Player { player, director, boot, got, text: text.to_owned() });
+            self.recorder.record(Event::Player { player, director, boot, got, text: text.to_owned() });
         }
     }
 
-    pub async fn say(&mut self, message: &FromPlayer) -> Result<(), WsError> {
+    pub async fn send(&mut self, message: &FromPlayer) -> Result<(), WsError> {
         let text = message.text();
         self.keep(false, &text);
         self.ws.send(Message::text(text)).await
     }
 
     /// The next message; `None` when the socket is gone.
-    pub async fn hear(&mut self) -> Option<ToPlayer> {
+    pub async fn receive(&mut self) -> Option<ToPlayer> {
         loop {
             match self.ws.next().await {
                 Some(Ok(Message::Text(text))) => {
@@ -145,16 +145,16 @@
     }
 }
 
-impl Drop for Socket {
+impl Drop for PlayerSocket {
     fn drop(&mut self) {
         self.note(false);
     }
 }
 
 /// Hears a request out that its viewer has left for another director.
-async fn listen_on(mut socket: Socket, patience: Instant) {
-    let until = patience + Duration::from_secs(5);
-    while let Ok(Some(m)) = timeout_at(until, socket.hear()).await {
+async fn wait_for_end(mut socket: PlayerSocket, answer_deadline: Instant) {
+    let until = answer_deadline + Duration::from_secs(5);
+    while let Ok(Some(m)) = timeout_at(until, socket.receive()).await {
         if matches!(m, ToPlayer::Ended { .. } | ToPlayer::Busy { .. } | ToPlayer::Failed { .. }) {
             return;
         }
@@ -162,99 +162,101 @@
 }
 
 /// How a try ended.
-enum Try {
+enum Attempt {
     /// Watched to the end.
-    Done,
+    Finished,
     /// Come again after so long.
-    Again(f64),
+    RetryAfter(f64),
 }
 
 /// Plays one viewer's part to its end.
-pub async fn play(
-    wish: Wish, directors: Directors, recorder: Recorder, issuing: Option<Arc<Issuing>>, seed: u64,
+pub async fn run_player(
+    wanted: DesiredSession, directors: DirectorAddresses, recorder: Recorder,
+    token_issuer: Option<Arc<TokenIssuer>>, seed: u64,
 ) {
     let mut rng = Rng::with_seed(seed);
-    recorder.put(What::Wish {
-        player: wish.player,
-        group: wish.group.clone(),
-        best_rung: wish.best_rung,
-        seconds: wish.seconds,
+    recorder.record(Event::Wish {
+        player: wanted.player,
+        group: wanted.group.clone(),
+        best_rung: wanted.best_rung,
+        seconds: wanted.seconds,
     });
-    let end = Instant::now() + Duration::from_secs_f64(wish.seconds + 1.0);
+    let end = Instant::now() + Duration::from_secs_f64(wanted.seconds + 1.0);
     let mut tries = 0;
     while Instant::now() + Duration::from_secs(2) < end && tries < 20 {
         tries += 1;
         let token = || {
-            let ticket = wish.ticket.as_ref()?;
-            let id = format!("viewer-{}", wish.player);
-            issuing.as_ref()?.token(&ticket.school, &id, ticket.lasts).ok()
+            let plan = wanted.token_plan.as_ref()?;
+            let id = format!("viewer-{}", wanted.player);
+            token_issuer.as_ref()?.token(&plan.school, &id, plan.lasts).ok()
         };
-        match one_try(&wish, &directors, &recorder, tries, end, &mut rng, &token).await {
-            Try::Done => return,
-            Try::Again(wait) => sleep(Duration::from_secs_f64(wait)).await,
+        match attempt(&wanted, &directors, &recorder, tries, end, &mut rng, &token).await {
+            Attempt::Finished => return,
+            Attempt::RetryAfter(wait) => sleep(Duration::from_secs_f64(wait)).await,
         }
     }
 }
 
-async fn one_try(
-    wish: &Wish, directors: &Directors, recorder: &Recorder, tries: u32, end: Instant, rng: &mut Rng,
-    token: &impl Fn() -> Option<String>,
-) -> Try {
-    let soon = 0.3 + rng.f64();
-    let Some(to) = directors.draw(&wish.zone, rng) else { return Try::Again(soon) };
-    let opened = timeout(Duration::from_secs(3), Socket::open(recorder, wish.player, to)).await;
-    let Ok(Ok(mut socket)) = opened else { return Try::Again(soon) };
-    let mut key = RequestKey(format!("p{:05}-{tries:02}-{:08x}", wish.player, rng.u32(..)));
+async fn attempt(
+    wanted: &DesiredSession, directors: &DirectorAddresses, recorder: &Recorder, tries: u32, end: Instant,
+    rng: &mut Rng, token: &impl Fn() -> Option<String>,
+) -> Attempt {
+    let retry_delay = 0.3 + rng.f64();
+    let Some(to) = directors.draw(&wanted.zone, rng) else { return Attempt::RetryAfter(retry_delay) };
+    let opened = timeout(Duration::from_secs(3), PlayerSocket::open(recorder, wanted.player, to)).await;
+    let Ok(Ok(mut socket)) = opened else { return Attempt::RetryAfter(retry_delay) };
+    let mut key = RequestKey(format!("p{:05}-{tries:02}-{:08x}", wanted.player, rng.u32(..)));
     let mut start = FromPlayer::Start {
         key: key.clone(),
-        group: wish.group.clone(),
-        title: wish.title.clone(),
-        best_rung: wish.best_rung,
-        setup_timeout: wish.setup_timeout,
+        group: wanted.group.clone(),
+        title: wanted.title.clone(),
+        best_rung: wanted.best_rung,
+        setup_timeout: wanted.setup_timeout,
         token: token(),
     };
-    if socket.say(&start).await.is_err() {
-        return Try::Again(soon);
+    if socket.send(&start).await.is_err() {
+        return Attempt::RetryAfter(retry_delay);
     }
     // Somewhat longer than the timeout, so that a late answer shows in the record.
-    let patience = Instant::now() + Duration::from_secs_f64(wish.setup_timeout + 0.3);
-    let mut retry_at =
-        wish.retries.then(|| Instant::now() + Duration::from_secs_f64(0.005 + 0.1 * rng.f64()));
-    let mut second: Option<Socket> = None;
+    let answer_deadline = Instant::now() + Duration::from_secs_f64(wanted.setup_timeout + 0.3);
+    let mut resend_at =
+        wanted.retries.then(|| Instant::now() + Duration::from_secs_f64(0.005 + 0.1 * rng.f64()));
+    let mut second: Option<PlayerSocket> = None;
     let answer = loop {
-        let until = retry_at.unwrap_or(patience).min(patience);
-        match timeout_at(until, socket.hear()).await {
+        let until = resend_at.unwrap_or(answer_deadline).min(answer_deadline);
+        match timeout_at(until, socket.receive()).await {
             Ok(Some(m)) if m.is_final() && m.key() == Some(&key) => break Some(m),
             Ok(Some(ToPlayer::Error { .. })) | Ok(None) => break None,
             Ok(Some(_)) => {}
-            Err(_) if retry_at.is_some() && wish.ticket.as_ref().is_some_and(|t| t.elsewhere) => {
-                retry_at = None;
+            Err(_) if resend_at.is_some() && wanted.token_plan.as_ref().is_some_and(|t| t.elsewhere) => {
+                resend_at = None;
                 // The same token at another director, while the first answer is out.
                 if let Some(other) = directors.draw_other(to.0, rng)
                     && let Ok(Ok(new)) =
-                        timeout(Duration::from_secs(1), Socket::open(recorder, wish.player, other)).await
+                        timeout(Duration::from_secs(1), PlayerSocket::open(recorder, wanted.player, other))
+                            .await
                 {
                     let first = std::mem::replace(&mut socket, new);
-                    tokio::spawn(listen_on(first, patience));
+                    tokio::spawn(wait_for_end(first, answer_deadline));
                     if let FromPlayer::Start { key: of, .. } = &mut start {
                         of.0.push_str("-b");
                         key = of.clone();
                     }
-                    if socket.say(&start).await.is_err() {
+                    if socket.send(&start).await.is_err() {
                         break None;
                     }
                 }
             }
-            Err(_) if retry_at.take().is_some() => {
-                if wish.second_socket {
+            Err(_) if resend_at.take().is_some() => {
+                if wanted.second_socket {
                     // The first socket is let go: the answer comes on the new one.
                     if let Ok(Ok(new)) =
-                        timeout(Duration::from_secs(1), Socket::open(recorder, wish.player, to)).await
+                        timeout(Duration::from_secs(1), PlayerSocket::open(recorder, wanted.player, to)).await
                     {
                         second = Some(std::mem::replace(&mut socket, new));
                     }
                 }
-                if socket.say(&start).await.is_err() {
+                if socket.send(&start).await.is_err() {
                     break None;
                 }
             }
@@ -265,28 +267,28 @@
     match answer {
         Some(ToPlayer::Playing { .. }) => {}
         Some(ToPlayer::Busy { come_back, .. }) => {
-            return Try::Again(come_back.unwrap_or(1.0) * (0.7 + 0.6 * rng.f64()));
+            return Attempt::RetryAfter(come_back.unwrap_or(1.0) * (0.7 + 0.6 * rng.f64()));
         }
-        _ => return Try::Again(0.6 + 1.5 * rng.f64()),
+        _ => return Attempt::RetryAfter(0.6 + 1.5 * rng.f64()),
     }
     loop {
         tokio::select! {
             () = sleep_until(end) => break,
-            heard = socket.hear() => match heard {
-                Some(ToPlayer::Ended { .. }) | None => return Try::Again(0.6 + 1.5 * rng.f64()),
-                Some(ToPlayer::Expiring { .. }) if wish.ticket.as_ref().is_some_and(|t| t.renews) => {
+            heard = socket.receive() => match heard {
+                Some(ToPlayer::Ended { .. }) | None => return Attempt::RetryAfter(0.6 + 1.5 * rng.f64()),
+                Some(ToPlayer::Expiring { .. }) if wanted.token_plan.as_ref().is_some_and(|t| t.renews) => {
                     let Some(token) = token() else { continue };
-                    if socket.say(&FromPlayer::Renew { key: key.clone(), token }).await.is_err() {
-                        return Try::Again(0.6 + 1.5 * rng.f64());
+                    if socket.send(&FromPlayer::Renew { key: key.clone(), token }).await.is_err() {
+                        return Attempt::RetryAfter(0.6 + 1.5 * rng.f64());
                     }
                 }
                 Some(_) => {}
             },
         }
     }
-    if socket.say(&FromPlayer::Stop { key }).await.is_ok() {
+    if socket.send(&FromPlayer::Stop { key }).await.is_ok() {
         let _ = timeout(Duration::from_secs(2), async {
-            while let Some(m) = socket.hear().await {
+            while let Some(m) = socket.receive().await {
                 if matches!(m, ToPlayer::Ended { .. }) {
                     break;
                 }
@@ -294,5 +296,5 @@
         })
         .await;
     }
-    Try::Done
+    Attempt::Finished
 }
--- a/crates/kelpdoor-lab/src/record.rs
+++ b/crates/kelpdoor-lab/src/record.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum Event {
     /// First: the settings that all directors share, as `kelpdoord check --json` prints them.
     Settings {
         text: String,
@@ -124,24 +124,24 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct Entry {
     pub t: f64,
-    pub what: What,
+    pub what: Event,
 }
 
 /// Takes lines from all stand-ins; one thread writes them.
 #[derive(Clone)]
-pub struct Recorder(Option<Sender<Option<Line>>>);
+pub struct Recorder(Option<Sender<Option<Entry>>>);
 
-pub struct RecordFile {
-    end: Sender<Option<Line>>,
+pub struct RecordWriter {
+    end: Sender<Option<Entry>>,
     thread: JoinHandle<Result<()>>,
 }
 
 impl Recorder {
-    pub fn to_file(path: &Path) -> Result<(Recorder, RecordFile)> {
+    pub fn to_file(path: &Path) -> Result<(Recorder, RecordWriter)> {
         let file = File::create(path).with_context(|| path.display().to_string())?;
-        let (to, from) = channel::<Option<Line>>();
+        let (to, from) = channel::<Option<Entry>>();
         let thread = std::thread::spawn(move || {
             let mut out = zstd::Encoder::new(file, 3)?;
             while let Ok(Some(line)) = from.recv() {
@@ -151,26 +151,26 @@
             out.finish()?.sync_all()?;
             Ok(())
         });
-        Ok((Recorder(Some(to.clone())), RecordFile { end: to, thread }))
+        Ok((Recorder(Some(to.clone())), RecordWriter { end: to, thread }))
     }
 
     /// Keeps nothing, for load runs.
-    pub fn none() -> Recorder {
+    pub fn disabled() -> Recorder {
         Recorder(None)
     }
 
-    pub fn put(&self, what: What) {
+    pub fn record(&self, what: Event) {
         if let Some(to) = &self.0 {
-            let _ = to.send(Some(Line { t: now(), what }));
+            let _ = to.send(Some(Entry { t: now(), what }));
         }
     }
 
-    pub fn kept(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.0.is_some()
     }
 }
 
-impl RecordFile {
+impl RecordWriter {
     /// Waits until all that was put so far is on disk; what stand-ins still put later is dropped.
     pub fn finish(self) -> Result<()> {
         let _ = self.end.send(None);
@@ -182,7 +182,7 @@
 ///
 /// # Errors
 /// Where a line is none, with its number.
-pub fn read(path: &Path) -> Result<Vec<Line>> {
+pub fn read(path: &Path) -> Result<Vec<Entry>> {
     let file = File::open(path).with_context(|| path.display().to_string())?;
     let lines = BufReader::new(zstd::Decoder::new(file)?).lines();
     let parse = |(k, line): (usize, std::io::Result<String>)| {
--- a/crates/kelpdoor-lab/src/relay.rs
+++ b/crates/kelpdoor-lab/src/relay.rs
@@ -41,16 +41,16 @@
 }
 
 pub async fn run(config: &Path) -> Result<()> {
-    let book = Deployment::read(config).map_err(|f| anyhow::anyhow!("{f:?}"))?;
+    let deployment = Deployment::read(config).map_err(|f| anyhow::anyhow!("{f:?}"))?;
     let shared: Shared = Arc::default();
-    let stream = TcpStream::connect(book.roster.address).await.context("the roster")?;
+    let stream = TcpStream::connect(deployment.roster.address).await.context("the roster")?;
     let (read, mut write) = stream.into_split();
     let hello = serde_json::to_string(&ToRoster::Hello { director: 0 })? + "\n";
     write.write_all(hello.as_bytes()).await?;
     let mut lines = BufReader::new(read).lines();
     let first = lines.next_line().await?.context("no list")?;
     let whole: FromRoster = serde_json::from_str(&first)?;
-    lock(&shared).list.take(&whole, &book.fleet)?;
+    lock(&shared).list.take(&whole, &deployment.fleet)?;
     let nodes: Vec<_> = lock(&shared).list.nodes.values().cloned().collect();
     for n in nodes {
         let stream = TcpStream::connect(n.address).await?;
--- a/crates/kelpdoor-lab/src/roster.rs
+++ b/crates/kelpdoor-lab/src/roster.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::record::{Recorder, What, now};
+use crate::record::{Event, Recorder, now};
 
 struct State {
     /// What became of nodes, and when; the first entries are those of the start.
@@ -121,7 +121,7 @@
         loop {
             if let Some(message) = message.take() {
                 let Ok(mut text) = serde_json::to_string(&message) else { return };
-                self.recorder.put(What::Roster { director, text: text.clone() });
+                self.recorder.record(Event::Roster { director, text: text.clone() });
                 text.push('\n');
                 if write.write_all(text.as_bytes()).await.is_err() {
                     return;
--- a/crates/kelpdoor-lab/src/scale/sessions.rs
+++ b/crates/kelpdoor-lab/src/scale/sessions.rs
@@ -27,9 +27,9 @@
 use super::points::{Point, Points};
 use super::process::{Use, most_descriptors, usage};
 use crate::daemon::Daemon;
-use crate::fleet::{World, director_script, settings};
+use crate::fleet::{StandIns, director_script, settings};
 use crate::record::Recorder;
-use crate::trouble::Size;
+use crate::trouble::DaySettings;
 use viewer::{Tally, viewer};
 
 /// s; a director takes all nodes for just started for so long, and some more.
@@ -143,7 +143,7 @@
 
 /// A director and all it is linked with.
 struct Stage {
-    world: World,
+    world: StandIns,
     daemon: Daemon,
     pid: u32,
     address: std::net::SocketAddr,
@@ -159,7 +159,7 @@
 }
 
 /// Settings under which nothing is short but what is measured.
-fn ample(size: &Size, sessions: usize) -> String {
+fn ample(size: &DaySettings, sessions: usize) -> String {
     let each = (sessions as f64 / f64::from(size.nodes) * 3.0).ceil().max(50.0);
     let shared = settings(size, "")
         .replace("{\"box-2c\": 26, \"box-3c\": 39}", &format!("{{\"box-2c\": {each}, \"box-3c\": {each}}}"))
@@ -178,7 +178,8 @@
         program: &Path, nodes: u32, sessions: usize, listeners: usize, seed: u64,
     ) -> Result<Stage> {
         let racks = (nodes.min(4)) as u16;
-        let size = Size { nodes, racks, directors: 1, roster_lag: 0.0, seed, ..Size::default() };
+        let size =
+            DaySettings { nodes, racks, directors: 1, roster_lag: 0.0, seed, ..DaySettings::default() };
         let shared = ample(&size, sessions);
         let cells = nodes as u16;
         let titles = (0..sessions.div_ceil(listeners.max(1)).max(1))
@@ -188,7 +189,7 @@
                 cells: 5.min(cells),
             })
             .collect();
-        let world = World::with_titles(&size, &shared, Recorder::none(), titles).await?;
+        let world = StandIns::with_titles(&size, &shared, Recorder::disabled(), titles).await?;
         let each = (sessions as f64 / f64::from(nodes) * 3.0).ceil().max(50.0);
         world.nodes.with_fleet(|f| {
             for n in f.nodes.values_mut() {
@@ -199,7 +200,7 @@
         let script = dir.path().join("director.star");
         std::fs::write(
             &script,
-            director_script(&shared, &size, 0, world.roster_at, &dir.path().join("list")),
+            director_script(&shared, &size, 0, world.roster_address, &dir.path().join("list")),
         )?;
         let arguments = ["serve", "--log-filter", "warn", "--config"].map(std::ffi::OsString::from);
         let arguments: Vec<_> = arguments.into_iter().chain([script.into_os_string()]).collect();
@@ -230,7 +231,7 @@
 
     /// Bytes of the roster's whole list, as the director is told it.
     async fn list_bytes(&self) -> Result<f64> {
-        let mut stream = TcpStream::connect(self.world.roster_at).await?;
+        let mut stream = TcpStream::connect(self.world.roster_address).await?;
         let mut hello = serde_json::to_string(&ToRoster::Hello { director: 9999 })?;
         hello.push('\n');
         stream.write_all(hello.as_bytes()).await?;
@@ -389,9 +390,9 @@
         let stage = Stage::start(&self.program, nodes, 1, 1, seed).await?;
         let (at, began) = ("no sessions, a link to each", Instant::now());
         let until = began + Duration::from_secs_f64(PATIENCE);
-        while stage.world.nodes.linked() < nodes as usize {
+        while stage.world.nodes.connected_nodes() < nodes as usize {
             if Instant::now() > until {
-                bail!("{} links after {PATIENCE} s", stage.world.nodes.linked());
+                bail!("{} links after {PATIENCE} s", stage.world.nodes.connected_nodes());
             }
             sleep(Duration::from_millis(10)).await;
         }
--- a/crates/kelpdoor-lab/src/tickets.rs
+++ b/crates/kelpdoor-lab/src/schools.rs
@@ -17,11 +17,11 @@
 
 use crate::daemon::Daemon;
 use crate::record::now;
-use crate::trouble::Size;
+use crate::trouble::DaySettings;
 
 /// Stand in the settings for what is known only when a lab runs.
-pub const KEYS: &str = "keys-of-the-lab.json";
-pub const KEEPER: &str = "127.0.0.1:1";
+pub const KEYS_PLACEHOLDER: &str = "keys-of-the-lab.json";
+pub const KEEPER_PLACEHOLDER: &str = "127.0.0.1:1";
 /// Whom tokens are meant for.
 pub const AUDIENCE: &str = "kelpdoor-lab";
 
@@ -29,36 +29,36 @@
 const LEASE: &str = "lease = 14, clock_error = 0.5, beat_every = 1.5";
 
 /// The lines of a director's settings; none where the day has no schools.
-pub fn settings(size: &Size, group: &str) -> String {
+pub fn settings(size: &DaySettings, group: &str) -> String {
     if size.schools == 0 {
         return String::new();
     }
     format!(
         "group(\"ticket\", {group}, token = True)\n\
-         tokens(keys = \"{KEYS}\", audience = \"{AUDIENCE}\", warn = 1.5, reread = 0.2, longest = 600)\n\
-         keeper(address = \"{KEEPER}\", {LEASE}, wait = 0.4, ahead = 2)\n"
+         tokens(keys = \"{KEYS_PLACEHOLDER}\", audience = \"{AUDIENCE}\", warn = 1.5, reread = 0.2, longest = 600)\n\
+         keeper(address = \"{KEEPER_PLACEHOLDER}\", {LEASE}, wait = 0.4, ahead = 2)\n"
     )
 }
 
-pub fn school(k: u32) -> String {
+pub fn school_name(k: u32) -> String {
     format!("school-{k}")
 }
 
 /// Issues the tokens of all schools.
-pub struct Issuing {
+pub struct TokenIssuer {
     keys: PathBuf,
     /// The latest signs.
     issuers: Mutex<Vec<Issuer>>,
 }
 
-impl Issuing {
+impl TokenIssuer {
     pub fn new(dir: &Path) -> Result<Arc<Self>> {
-        let issuing = Issuing { keys: dir.join(KEYS), issuers: Mutex::new(Vec::new()) };
-        issuing.next_key()?;
-        Ok(Arc::new(issuing))
+        let token_issuer = TokenIssuer { keys: dir.join(KEYS_PLACEHOLDER), issuers: Mutex::new(Vec::new()) };
+        token_issuer.next_key()?;
+        Ok(Arc::new(token_issuer))
     }
 
-    pub fn keys(&self) -> &Path {
+    pub fn key_set_path(&self) -> &Path {
         &self.keys
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Only the latest key is good from now on.
-    pub fn drop_old(&self) -> Result<()> {
+    pub fn retire_old_keys(&self) -> Result<()> {
         let mut issuers = self.issuers.lock().unwrap_or_else(|e| e.into_inner());
         let old = issuers.len().saturating_sub(1);
         issuers.drain(..old);
@@ -104,7 +104,7 @@
 }
 
 /// The key pair kept in a folder, made there with its key set if there is none.
-pub fn kept_issuer(folder: &Path) -> Result<Issuer> {
+pub fn load_or_create_issuer(folder: &Path) -> Result<Issuer> {
     fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
     let path = folder.join("issuer.pk8");
     if !path.exists() {
@@ -129,7 +129,7 @@
 }
 
 impl KeeperProcess {
-    pub async fn start(program: &Path, dir: &Path, size: &Size) -> Result<Self> {
+    pub async fn start(program: &Path, dir: &Path, size: &DaySettings) -> Result<Self> {
         let mut keeper = KeeperProcess {
             program: program.to_owned(),
             dir: dir.to_owned(),
@@ -138,7 +138,7 @@
             address: "127.0.0.1:0".into(),
             child: None,
         };
-        keeper.again().await?;
+        keeper.restart().await?;
         Ok(keeper)
     }
 
@@ -146,13 +146,13 @@
         let ledger = self.dir.join("ledger").display().to_string();
         let mut text = format!("keeper(listen = \"{}\", ledger = {ledger:?}, {LEASE})\n", self.address);
         for k in 0..self.schools {
-            text += &format!("school({:?}, seats = {})\n", school(k), self.seats);
+            text += &format!("school({:?}, seats = {})\n", school_name(k), self.seats);
         }
         text
     }
 
     /// Starts it where it listened before.
-    pub async fn again(&mut self) -> Result<()> {
+    pub async fn restart(&mut self) -> Result<()> {
         let path = self.dir.join("keeper.star");
         fs::write(&path, self.script())?;
         let arguments = ["keeper", "--config", &path.display().to_string()];
@@ -176,7 +176,7 @@
     }
 
     /// Seats held and lent over all schools, as the keeper says.
-    pub async fn standing(&self) -> Result<(u32, u32)> {
+    pub async fn seat_counts(&self) -> Result<(u32, u32)> {
         let mut stream = TcpStream::connect(&self.address).await?;
         let mut ask = serde_json::to_vec(&Ask::Standing)?;
         ask.push(b'\n');
--- a/crates/kelpdoor-lab/src/trouble.rs
+++ b/crates/kelpdoor-lab/src/trouble.rs
@@ -8,7 +8,7 @@
 /// The day itself: how much of everything.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Size {
+pub struct DaySettings {
     pub seconds: f64,
     pub directors: u32,
     pub nodes: u32,
@@ -39,9 +39,9 @@
     pub clocks_apart: bool,
 }
 
-impl Default for Size {
+impl Default for DaySettings {
     fn default() -> Self {
-        Size {
+        DaySettings {
             seconds: 60.0,
             directors: 3,
             nodes: 16,
@@ -67,7 +67,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum TroubleKind {
     Crash,
     Vanish,
     Slow,
@@ -106,36 +106,36 @@
     VoterList,
 }
 
-const KINDS: [(&str, Kind); 29] = [
-    ("crash", Kind::Crash),
-    ("vanish", Kind::Vanish),
-    ("slow", Kind::Slow),
-    ("neighbour", Kind::Neighbour),
-    ("rack_sag", Kind::RackSag),
-    ("ageing", Kind::Ageing),
-    ("deploy", Kind::Deploy),
-    ("discovery_stale", Kind::DiscoveryStale),
-    ("report_late", Kind::ReportLate),
-    ("balancer_roll", Kind::BalancerRoll),
-    ("balancer_stall", Kind::BalancerStall),
-    ("zone_loss", Kind::ZoneLoss),
-    ("hot_key", Kind::HotKey),
-    ("preempt", Kind::Preempt),
-    ("drain", Kind::Drain),
-    ("keeper_roll", Kind::KeeperRoll),
-    ("keeper_stall", Kind::KeeperStall),
-    ("new_key", Kind::NewKey),
-    ("cut", Kind::Cut),
-    ("late", Kind::Late),
-    ("trickle", Kind::Trickle),
-    ("line_reset", Kind::LineReset),
-    ("voter_roll", Kind::VoterRoll),
-    ("voter_stall", Kind::VoterStall),
-    ("voter_disk", Kind::VoterDisk),
-    ("voter_full", Kind::VoterFull),
-    ("propose", Kind::Propose),
-    ("voter_list", Kind::VoterList),
-    ("wall_step", Kind::WallStep),
+const KINDS: [(&str, TroubleKind); 29] = [
+    ("crash", TroubleKind::Crash),
+    ("vanish", TroubleKind::Vanish),
+    ("slow", TroubleKind::Slow),
+    ("neighbour", TroubleKind::Neighbour),
+    ("rack_sag", TroubleKind::RackSag),
+    ("ageing", TroubleKind::Ageing),
+    ("deploy", TroubleKind::Deploy),
+    ("discovery_stale", TroubleKind::DiscoveryStale),
+    ("report_late", TroubleKind::ReportLate),
+    ("balancer_roll", TroubleKind::BalancerRoll),
+    ("balancer_stall", TroubleKind::BalancerStall),
+    ("zone_loss", TroubleKind::ZoneLoss),
+    ("hot_key", TroubleKind::HotKey),
+    ("preempt", TroubleKind::Preempt),
+    ("drain", TroubleKind::Drain),
+    ("keeper_roll", TroubleKind::KeeperRoll),
+    ("keeper_stall", TroubleKind::KeeperStall),
+    ("new_key", TroubleKind::NewKey),
+    ("cut", TroubleKind::Cut),
+    ("late", TroubleKind::Late),
+    ("trickle", TroubleKind::Trickle),
+    ("line_reset", TroubleKind::LineReset),
+    ("voter_roll", TroubleKind::VoterRoll),
+    ("voter_stall", TroubleKind::VoterStall),
+    ("voter_disk", TroubleKind::VoterDisk),
+    ("voter_full", TroubleKind::VoterFull),
+    ("propose", TroubleKind::Propose),
+    ("voter_list", TroubleKind::VoterList),
+    ("wall_step", TroubleKind::WallStep),
 ];
 
 /// One trouble. Which fields count depends on its kind; `docs/bad-day.md` has the table.
@@ -192,18 +192,18 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Script {
-    pub size: Size,
-    pub troubles: Vec<(Kind, Trouble)>,
+pub struct TroubleScript {
+    pub size: DaySettings,
+    pub troubles: Vec<(TroubleKind, Trouble)>,
 }
 
-impl Script {
+impl TroubleScript {
     /// # Errors
     /// Every fault found, each with its place.
     pub fn from_calls(file: &str, calls: &[Call]) -> Result<Self, Vec<SettingsError>> {
-        let (mut script, mut faults) = (Script::default(), Vec::new());
+        let (mut script, mut faults) = (TroubleScript::default(), Vec::new());
         for call in calls.iter().filter(|c| c.builtin == "day") {
-            match call.parse_args::<Size>(file) {
+            match call.parse_args::<DaySettings>(file) {
                 Ok(size) => {
                     let sane = size.seconds > 0.0 && size.seconds <= 3600.0;
                     let fleet = (1..=200).contains(&size.nodes) && (1..=20).contains(&size.directors);
@@ -246,19 +246,19 @@
         if faults.is_empty() { Ok(script) } else { Err(faults) }
     }
 
-    pub fn run(file: &str, text: &str) -> Result<Self, Vec<SettingsError>> {
-        Script::from_calls(file, &kelpdoor_script::evaluate(file, text, TROUBLE_BUILTINS)?)
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<SettingsError>> {
+        TroubleScript::from_calls(file, &kelpdoor_script::evaluate(file, text, TROUBLE_BUILTINS)?)
     }
 
     pub fn read(path: &Path) -> Result<Self, Vec<SettingsError>> {
-        Script::from_calls(
+        TroubleScript::from_calls(
             &path.display().to_string(),
             &kelpdoor_script::evaluate_file(path, TROUBLE_BUILTINS)?,
         )
     }
 }
 
-fn wrong(kind: Kind, t: &Trouble, size: &Size) -> Option<String> {
+fn wrong(kind: TroubleKind, t: &Trouble, size: &DaySettings) -> Option<String> {
     let times = [t.at, t.lasts, t.factor, t.notice];
     if !times.iter().all(|v| v.is_finite() && *v >= 0.0) {
         return Some("times and factor have to be at least 0".into());
@@ -280,32 +280,34 @@
     }
     let needs = |missing: bool, what: &str| missing.then(|| format!("{what} is needed"));
     match kind {
-        Kind::Crash
-        | Kind::Vanish
-        | Kind::Slow
-        | Kind::Neighbour
-        | Kind::Ageing
-        | Kind::Deploy
-        | Kind::Preempt
-        | Kind::Drain => needs(t.nodes.is_empty(), "nodes"),
-        Kind::RackSag => needs(t.racks.is_empty(), "racks"),
-        Kind::WallStep if size.voters == 0 => Some("it needs voters in the day".into()),
-        Kind::BalancerRoll | Kind::BalancerStall | Kind::WallStep => {
+        TroubleKind::Crash
+        | TroubleKind::Vanish
+        | TroubleKind::Slow
+        | TroubleKind::Neighbour
+        | TroubleKind::Ageing
+        | TroubleKind::Deploy
+        | TroubleKind::Preempt
+        | TroubleKind::Drain => needs(t.nodes.is_empty(), "nodes"),
+        TroubleKind::RackSag => needs(t.racks.is_empty(), "racks"),
+        TroubleKind::WallStep if size.voters == 0 => Some("it needs voters in the day".into()),
+        TroubleKind::BalancerRoll | TroubleKind::BalancerStall | TroubleKind::WallStep => {
             needs(t.directors.is_empty(), "directors")
         }
-        Kind::ZoneLoss if !size.zones.contains(&t.zone) => Some(format!("no zone {:?}", t.zone)),
-        Kind::HotKey => needs(t.players == 0 || t.players > 5000, "players, 1 to 5000,"),
-        Kind::Cut
-        | Kind::Late
-        | Kind::Trickle
-        | Kind::LineReset
-        | Kind::VoterRoll
-        | Kind::VoterStall
-        | Kind::VoterDisk
-        | Kind::VoterFull => needs(t.voters.is_empty(), "voters"),
-        Kind::Propose => needs(size.voters == 0, "voters in the day"),
-        Kind::VoterList => needs(!matches!(t.voters.len(), 3 | 5), "three or five voters"),
-        Kind::KeeperRoll | Kind::KeeperStall | Kind::NewKey => needs(size.schools == 0, "schools in the day"),
-        Kind::ZoneLoss | Kind::DiscoveryStale | Kind::ReportLate => None,
+        TroubleKind::ZoneLoss if !size.zones.contains(&t.zone) => Some(format!("no zone {:?}", t.zone)),
+        TroubleKind::HotKey => needs(t.players == 0 || t.players > 5000, "players, 1 to 5000,"),
+        TroubleKind::Cut
+        | TroubleKind::Late
+        | TroubleKind::Trickle
+        | TroubleKind::LineReset
+        | TroubleKind::VoterRoll
+        | TroubleKind::VoterStall
+        | TroubleKind::VoterDisk
+        | TroubleKind::VoterFull => needs(t.voters.is_empty(), "voters"),
+        TroubleKind::Propose => needs(size.voters == 0, "voters in the day"),
+        TroubleKind::VoterList => needs(!matches!(t.voters.len(), 3 | 5), "three or five voters"),
+        TroubleKind::KeeperRoll | TroubleKind::KeeperStall | TroubleKind::NewKey => {
+            needs(size.schools == 0, "schools in the day")
+        }
+        TroubleKind::ZoneLoss | TroubleKind::DiscoveryStale | TroubleKind::ReportLate => None,
     }
 }
--- a/crates/kelpdoor-lab/src/voting.rs
+++ b/crates/kelpdoor-lab/src/voting.rs
@@ -17,9 +17,9 @@
 
 use crate::between::{Between, Site};
 use crate::daemon::Daemon;
-use crate::fleet::{builds, titles};
-use crate::record::{Recorder, What};
-use crate::trouble::Size;
+use crate::fleet::{node_configs, titles};
+use crate::record::{Event, Recorder};
+use crate::trouble::DaySettings;
 
 pub const FLEET: &str = "lab";
 /// Words of the shared settings that a director keeps to itself.
@@ -32,7 +32,7 @@
     /// Of each voter, then of each director: how its clock runs, and where it reaches each voter.
     rates: Vec<f64>,
     lines: Vec<Vec<SocketAddr>>,
-    size: Size,
+    size: DaySettings,
     /// The document's text, and what each director has besides.
     shared: (String, String),
 }
@@ -77,7 +77,7 @@
 
 impl Agreeing {
     pub async fn start(
-        program: &Path, dir: &Path, size: &Size, shared: &str, recorder: Recorder,
+        program: &Path, dir: &Path, size: &DaySettings, shared: &str, recorder: Recorder,
     ) -> Result<Self> {
         let between = Between::default();
         let mut rng = Rng::with_seed(size.seed ^ 0xc10c);
@@ -128,7 +128,7 @@
 
 impl Voting {
     fn note(&self, v: u32, event: &str) {
-        self.recorder.put(What::Voter { voter: v, event: event.to_owned() });
+        self.recorder.record(Event::Voter { voter: v, event: event.to_owned() });
     }
 
     fn folder(&self, v: u32) -> PathBuf {
@@ -267,7 +267,7 @@
             3 => (vec![change % self.size.nodes], true),
             _ => (Vec::new(), true),
         };
-        for b in builds(&self.size, &mut Rng::with_seed(0)) {
+        for b in node_configs(&self.size, &mut Rng::with_seed(0)) {
             let drain = match (without.contains(&b.id), listed) {
                 (true, false) => continue,
                 (true, true) => ", drain = True",
@@ -330,7 +330,13 @@
         command.arg(&config).kill_on_drop(true);
         let after = self.newest;
         let digest_of = digest.clone();
-        self.recorder.put(What::Proposed { change, digest: digest_of, after, story_floor: floor, without });
+        self.recorder.record(Event::Proposed {
+            change,
+            digest: digest_of,
+            after,
+            story_floor: floor,
+            without,
+        });
         let out = match timeout(Duration::from_secs(30), command.output()).await {
             Err(_) => return Ok("no answer".to_owned()),
             Ok(out) => out?,
@@ -346,7 +352,7 @@
         {
             self.newest = self.newest.max(n);
         }
-        self.recorder.put(What::Outcome { change, digest, said: said.clone() });
+        self.recorder.record(Event::Outcome { change, digest, said: said.clone() });
         Ok(said)
     }
 }
--- a/crates/kelpdoor-lab/tests/agreement.rs
+++ b/crates/kelpdoor-lab/tests/agreement.rs
@@ -3,13 +3,13 @@
 
 use kelpdoor_lab::agreed::judge;
 use kelpdoor_lab::chaos;
-use kelpdoor_lab::record::{Line, What};
-use kelpdoor_lab::trouble::Script;
+use kelpdoor_lab::record::{Entry, Event};
+use kelpdoor_lab::trouble::TroubleScript;
 
 /// Plays a script; nothing may be broken.
 async fn play(name: &str, text: &str) -> chaos::Played {
     let dir = tempfile::tempdir().expect("a folder");
-    let script = Script::run(name, text).expect("good");
+    let script = TroubleScript::parse(name, text).expect("good");
     let program = env!("CARGO_BIN_EXE_kelpdoor-lab").as_ref();
     let played = chaos::play(&script, program, dir.path()).await.expect("a day");
     let logs: String = std::fs::read_dir(dir.path())
@@ -45,30 +45,36 @@
     assert!(j.versions >= 6 && j.acknowledged >= 6 && j.setups > 250 && j.calm_setups > 20, "{j:?}");
 }
 
-fn setup(t: f64, label: &str, rung: u8) -> Line {
+fn setup(t: f64, label: &str, rung: u8) -> Entry {
     let text = format!(
         "SETUP rtsp://n/title RTSP/2.0\r\nCSeq: 1\r\nRung: {rung}\r\nService-Group: story\r\nRules-Version: {label}\r\n\r\n"
     );
-    Line { t, what: What::Node { node: 1, conn: 1, got: true, text } }
+    Entry { t, what: Event::Node { node: 1, conn: 1, got: true, text } }
 }
 
-fn proposed(t: f64, digest: &str, story_floor: u8) -> Line {
-    Line {
+fn proposed(t: f64, digest: &str, story_floor: u8) -> Entry {
+    Entry {
         t,
-        what: What::Proposed { change: 0, digest: digest.into(), after: 0, story_floor, without: Vec::new() },
+        what: Event::Proposed {
+            change: 0,
+            digest: digest.into(),
+            after: 0,
+            story_floor,
+            without: Vec::new(),
+        },
     }
 }
 
-fn outcome(t: f64, said: &str) -> Line {
-    Line { t, what: What::Outcome { change: 0, digest: String::new(), said: said.into() } }
+fn outcome(t: f64, said: &str) -> Entry {
+    Entry { t, what: Event::Outcome { change: 0, digest: String::new(), said: said.into() } }
 }
 
-fn calm(t: f64) -> Line {
-    Line { t, what: What::Calm }
+fn calm(t: f64) -> Entry {
+    Entry { t, what: Event::Calm }
 }
 
 /// What breaks, without the lines' numbers.
-fn broken(lines: &[Line]) -> Vec<String> {
+fn broken(lines: &[Entry]) -> Vec<String> {
     judge(lines, 2.0).broken.into_iter().map(|b| b.1).collect()
 }
 
@@ -114,7 +120,7 @@
         [proposed(0.0, "aa", 0), proposed(0.0, "bb", 1), setup(0.1, "2/bb beside 1/aa", 0), calm(1.0)];
     assert_eq!(broken(&laxer), ["rung 0 under the floor 1 of the versions it names"]);
     let mut drains = proposed(0.0, "bb", 0);
-    if let What::Proposed { without, .. } = &mut drains.what {
+    if let Event::Proposed { without, .. } = &mut drains.what {
         *without = vec![1];
     }
     let drained = [drains, setup(0.1, "2/bb beside 1/aa", 0), calm(1.0)];
@@ -145,9 +151,9 @@
     ];
     assert_eq!(broken(&apart), ["5.5 s after the last trouble 2 is acted on, the newest is 2"]);
     let unnamed = [
-        Line {
+        Entry {
             t: 0.0,
-            what: What::Node { node: 1, conn: 1, got: true, text: "SETUP x RTSP/2.0\r\n\r\n".into() },
+            what: Event::Node { node: 1, conn: 1, got: true, text: "SETUP x RTSP/2.0\r\n\r\n".into() },
         },
         calm(1.0),
     ];
@@ -159,8 +165,8 @@
     let mut idle = vec![calm(1.0)];
     for k in 0..12 {
         let text = r#"{"type":"busy","key":"k"}"#.to_owned();
-        let what = What::Player { player: k, director: 3, boot: 1, got: true, text };
-        idle.push(Line { t: 7.0, what });
+        let what = Event::Player { player: k, director: 3, boot: 1, got: true, text };
+        idle.push(Entry { t: 7.0, what });
     }
     assert_eq!(broken(&idle), ["director 3 sets nothing up after the last trouble, of 12 requests"]);
 }
--- a/crates/kelpdoor-lab/tests/checker.rs
+++ b/crates/kelpdoor-lab/tests/checker.rs
@@ -5,27 +5,27 @@
 use expect_test::{Expect, expect};
 use kelpdoor_lab::check::check;
 use kelpdoor_lab::fleet::{director_script, settings};
-use kelpdoor_lab::record::{Line, What};
-use kelpdoor_lab::trouble::Size;
+use kelpdoor_lab::record::{Entry, Event};
+use kelpdoor_lab::trouble::DaySettings;
 use kelpdoor_script::Deployment;
 
 /// A record in the making, at a time of its own.
 struct Tape {
     t: f64,
-    lines: Vec<Line>,
+    lines: Vec<Entry>,
     cseq: u32,
 }
 
 impl Tape {
     /// One director, node 0 (and 1) of the east up since long, node 9 of the west.
     fn new() -> Tape {
-        let size = Size::default();
+        let size = DaySettings::default();
         let script =
             director_script(&settings(&size, ""), &size, 0, "127.0.0.1:1".parse().unwrap(), "x".as_ref());
-        let book = Deployment::parse("s", &script).expect("good settings");
+        let deployment = Deployment::parse("s", &script).expect("good settings");
         let mut tape = Tape { t: 100.0, lines: Vec::new(), cseq: 0 };
-        tape.put(What::Settings { text: serde_json::to_string(&book).unwrap() });
-        tape.put(What::Director { director: 0, boot: 1, event: "started".into() });
+        tape.put(Event::Settings { text: serde_json::to_string(&deployment).unwrap() });
+        tape.put(Event::Director { director: 0, boot: 1, event: "started".into() });
         for (node, zone) in [(0, "east"), (1, "east"), (9, "west")] {
             tape.node_up(node, false, zone);
             tape.told(node, "ready");
@@ -33,22 +33,22 @@
         tape
     }
 
-    fn put(&mut self, what: What) -> usize {
-        self.lines.push(Line { t: self.t, what });
+    fn put(&mut self, what: Event) -> usize {
+        self.lines.push(Entry { t: self.t, what });
         self.lines.len()
     }
 
     fn node_up(&mut self, node: u32, cold: bool, zone: &str) {
-        self.put(What::NodeUp { node, cold, places: 26.0, zone: zone.into(), cell: node as u16 });
+        self.put(Event::NodeUp { node, cold, places: 26.0, zone: zone.into(), cell: node as u16 });
         let hello = "OPTIONS rtsp://n/ RTSP/2.0\r\nCSeq: 0\r\nUser-Agent: kelpdoor/0 (director 0)\r\n\r\n";
-        self.put(What::Node { node, conn: 1, got: true, text: hello.into() });
+        self.put(Event::Node { node, conn: 1, got: true, text: hello.into() });
     }
 
     fn told(&mut self, node: u32, phase: &str) {
         let up_since = self.t;
         let text =
             format!(r#"{{"change":{{"nodes":[{{"id":{node},"phase":"{phase}","up_since":{up_since}}}]}}}}"#);
-        self.put(What::Roster { director: 0, text });
+        self.put(Event::Roster { director: 0, text });
     }
 
     fn wait(&mut self, s: f64) -> &mut Self {
@@ -57,7 +57,7 @@
     }
 
     fn player(&mut self, got: bool, text: String) -> usize {
-        self.put(What::Player { player: 1, director: 0, boot: 1, got, text })
+        self.put(Event::Player { player: 1, director: 0, boot: 1, got, text })
     }
 
     fn start(&mut self, key: &str, group: &str) -> usize {
@@ -75,25 +75,25 @@
              Service-Group: {group}\r\nRequest-Key: {key}\r\n\r\n",
             self.cseq, self.cseq
         );
-        self.put(What::Node { node, conn: 1, got: true, text });
+        self.put(Event::Node { node, conn: 1, got: true, text });
         (node, self.cseq)
     }
 
     fn says(&mut self, (node, cseq): (u32, u32), status: u16) {
         let text = format!("RTSP/2.0 {status} X\r\nCSeq: {cseq}\r\nSession: s{cseq}\r\n\r\n");
-        self.put(What::Node { node, conn: 1, got: false, text });
+        self.put(Event::Node { node, conn: 1, got: false, text });
     }
 
     fn teardown(&mut self, (node, pipe): (u32, u32)) {
         let text =
             format!("TEARDOWN rtsp://n/ RTSP/2.0\r\nCSeq: 9{pipe}\r\nPipelined-Requests: {pipe}\r\n\r\n");
-        self.put(What::Node { node, conn: 1, got: true, text });
+        self.put(Event::Node { node, conn: 1, got: true, text });
     }
 
     fn judge(&self, expected: Expect) {
         let v = check(&self.lines);
         let shown: Vec<String> =
-            v.broken.iter().map(|b| format!("rule {}, line {}: {}", b.rule, b.line, b.what)).collect();
+            v.violations.iter().map(|b| format!("rule {}, line {}: {}", b.rule, b.line, b.what)).collect();
         expected.assert_eq(&shown.join("\n"));
     }
 }
@@ -120,7 +120,7 @@
 fn rule_1_excuses_a_director_that_was_killed_or_stood_still() {
     let mut tape = Tape::new();
     tape.start("key-lost", "story");
-    tape.wait(1.0).put(What::Director { director: 0, boot: 1, event: "killed".into() });
+    tape.wait(1.0).put(Event::Director { director: 0, boot: 1, event: "killed".into() });
     tape.judge(expect![[""]]);
     assert_eq!(check(&tape.lines).excused, 1);
 }
@@ -236,8 +236,13 @@
     }
     // The second and third late ones are the second and third cases.
     let verdict = check(&t.lines);
-    let broken: Vec<u8> = verdict.broken.iter().map(|b| b.rule).collect();
-    assert_eq!((verdict.left, verdict.late_setups, broken), (4, 3, vec![8]), "{:#?}", verdict.broken);
+    let broken: Vec<u8> = verdict.violations.iter().map(|b| b.rule).collect();
+    assert_eq!(
+        (verdict.left_early, verdict.late_setups, broken),
+        (4, 3, vec![8]),
+        "{:#?}",
+        verdict.violations
+    );
 }
 
 #[test]
@@ -246,9 +251,9 @@
     let path = dir.path().join("r.zst");
     let (recorder, file) = kelpdoor_lab::record::Recorder::to_file(&path).unwrap();
     let tape = Tape::new();
-    tape.lines.iter().for_each(|l| recorder.put(l.what.clone()));
+    tape.lines.iter().for_each(|l| recorder.record(l.what.clone()));
     file.finish().unwrap();
-    let back: Vec<What> = kelpdoor_lab::record::read(&path).unwrap().into_iter().map(|l| l.what).collect();
+    let back: Vec<Event> = kelpdoor_lab::record::read(&path).unwrap().into_iter().map(|l| l.what).collect();
     assert_eq!(back, tape.lines.into_iter().map(|l| l.what).collect::<Vec<_>>());
 }
 
@@ -276,8 +281,8 @@
         deploy(at = 9.00, lasts = 20.00, nodes = [2, 4], notice = 3.00)
         balancer_roll(at = 10.00, lasts = 10.00, directors = [3], notice = 1.20)
         # "something_new" at 10.0 s has no counterpart here
-    "##]].assert_eq(&kelpdoor_lab::fromday::script(&day).expect("a script"));
-    assert!(kelpdoor_lab::fromday::script("{}").is_err());
+    "##]].assert_eq(&kelpdoor_lab::drawn_day::to_script(&day).expect("a script"));
+    assert!(kelpdoor_lab::drawn_day::to_script("{}").is_err());
 }
 
 impl Tape {
@@ -293,9 +298,9 @@
         let out = self.setup(key, "story", node, 0);
         let (node, pipe) = out;
         let play = format!("PLAY rtsp://n/ RTSP/2.0\r\nCSeq: 8{pipe}\r\nPipelined-Requests: {pipe}\r\n\r\n");
-        self.put(What::Node { node, conn: 1, got: true, text: play });
+        self.put(Event::Node { node, conn: 1, got: true, text: play });
         let ok = format!("RTSP/2.0 200 OK\r\nCSeq: 8{pipe}\r\n\r\n");
-        self.put(What::Node { node, conn: 1, got: false, text: ok });
+        self.put(Event::Node { node, conn: 1, got: false, text: ok });
         self.answer(key, "playing");
         out
     }
@@ -304,7 +309,7 @@
 #[test]
 fn rule_7_seats_of_schools() {
     let mut tape = Tape::new();
-    tape.put(What::Schools { seats: 1 });
+    tape.put(Event::Schools { seats: 1 });
     let first = tape.ticket("key-good", "a", 0);
     tape.wait(1.0).teardown(first);
     let second = tape.wait(0.1).ticket("key-next", "b", 1);
@@ -314,7 +319,7 @@
     tape.judge(expect![[""]]);
     tape.wait(1.0).ticket("key-over", "c", 1);
     tape.wait(0.1).ticket("key-twice", "b", 1);
-    tape.wait(6.0).put(What::SeatsLeft { held: 2 });
+    tape.wait(6.0).put(Event::SeatsLeft { held: 2 });
     tape.judge(expect![[r#"
         rule 7, line 31: olaf: 2 of 1 seats in use
         rule 7, line 36: olaf: 2 of 1 seats in use
--- a/crates/kelpdoor-lab/tests/platform.rs
+++ b/crates/kelpdoor-lab/tests/platform.rs
@@ -17,15 +17,15 @@
         .map(|d| std::fs::read_to_string(dir.path().join(format!("platform-{d}.log"))).unwrap_or_default())
         .collect();
     assert!(
-        verdict.broken.is_empty() && told.wrong.is_empty(),
+        verdict.violations.is_empty() && told.wrong.is_empty(),
         "{:#?}\n{:#?}\n{logs}",
-        verdict.broken,
+        verdict.violations,
         told.wrong
     );
     // The day was what it should be.
     assert!(told.started > 300 && told.served * 2 > told.started, "{told:?}");
     assert!(told.spoilt > 10 && told.rude > 50 && told.ends * 10 > told.served * 7, "{told:?}");
     // Two SETUPs for viewers who had gone would be chance; none is the aim, and what is tested.
-    assert!(verdict.left > 20 && verdict.late_setups == 0, "{verdict:?}");
+    assert!(verdict.left_early > 20 && verdict.late_setups == 0, "{verdict:?}");
     assert!(verdict.further > 0 && verdict.setups > told.served, "{verdict:?}");
 }
--- a/crates/kelpdoor-lab/tests/seats.rs
+++ b/crates/kelpdoor-lab/tests/seats.rs
@@ -8,11 +8,11 @@
 use kelpdoor_api::{EndReason, ErrorCode, FailureReason, FromPlayer, RequestKey, ToPlayer};
 use kelpdoor_director::{Running, ServeOptions, serve};
 use kelpdoor_keeper::{KeeperOptions, RunningKeeper, start};
-use kelpdoor_lab::fleet::{World, director_script, settings};
-use kelpdoor_lab::player::Socket;
+use kelpdoor_lab::fleet::{StandIns, director_script, settings};
+use kelpdoor_lab::player::PlayerSocket;
 use kelpdoor_lab::record::Recorder;
-use kelpdoor_lab::tickets::{self, Issuing};
-use kelpdoor_lab::trouble::Size;
+use kelpdoor_lab::schools::{self, TokenIssuer};
+use kelpdoor_lab::trouble::DaySettings;
 use kelpdoor_script::Deployment;
 use kelpdoor_seats::{LeaseTerms, School};
 use tokio::net::TcpListener;
@@ -20,9 +20,9 @@
 
 struct Hall {
     dir: tempfile::TempDir,
-    size: Size,
-    world: World,
-    issuing: std::sync::Arc<Issuing>,
+    size: DaySettings,
+    world: StandIns,
+    token_issuer: std::sync::Arc<TokenIssuer>,
 }
 
 async fn within<T>(seconds: u64, what: impl Future<Output = T>) -> T {
@@ -30,11 +30,18 @@
 }
 
 async fn hall() -> Hall {
-    let size = Size { directors: 2, nodes: 4, racks: 2, roster_lag: 0.0, schools: 1, ..Size::default() };
-    let world = World::start(&size, &settings(&size, ""), Recorder::none()).await.expect("stand-ins");
+    let size = DaySettings {
+        directors: 2,
+        nodes: 4,
+        racks: 2,
+        roster_lag: 0.0,
+        schools: 1,
+        ..DaySettings::default()
+    };
+    let world = StandIns::start(&size, &settings(&size, ""), Recorder::disabled()).await.expect("stand-ins");
     let dir = tempfile::tempdir().expect("a folder");
-    let issuing = Issuing::new(dir.path()).expect("a key");
-    Hall { dir, size, world, issuing }
+    let token_issuer = TokenIssuer::new(dir.path()).expect("a key");
+    Hall { dir, size, world, token_issuer }
 }
 
 impl Hall {
@@ -43,7 +50,7 @@
             listen,
             ledger: Some(self.dir.path().join("ledger")),
             lease: LeaseTerms { duration: 14.0, clock_error: 0.5 },
-            schools: vec![(School(tickets::school(0)), seats)],
+            schools: vec![(School(schools::school_name(0)), seats)],
             agreed: None,
         };
         // Where it listened before, the port is free as soon as the old one has ended.
@@ -60,10 +67,15 @@
 
     async fn director(&self, me: u32, keeper: SocketAddr) -> Running {
         let shared = settings(&self.size, "")
-            .replace(tickets::KEYS, &self.issuing.keys().display().to_string())
-            .replace(tickets::KEEPER, &keeper.to_string());
-        let script =
-            director_script(&shared, &self.size, me, self.world.roster_at, Path::new("/nonexistent/list"));
+            .replace(schools::KEYS_PLACEHOLDER, &self.token_issuer.key_set_path().display().to_string())
+            .replace(schools::KEEPER_PLACEHOLDER, &keeper.to_string());
+        let script = director_script(
+            &shared,
+            &self.size,
+            me,
+            self.world.roster_address,
+            Path::new("/nonexistent/list"),
+        );
         let deployment = Deployment::parse("test", &script).expect("good settings");
         let running =
             serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
@@ -77,7 +89,7 @@
     }
 
     fn token(&self, id: &str, lasts: f64) -> Option<String> {
-        Some(self.issuing.token(&tickets::school(0), id, lasts).expect("a token"))
+        Some(self.token_issuer.token(&schools::school_name(0), id, lasts).expect("a token"))
     }
 }
 
@@ -85,11 +97,11 @@
     "127.0.0.1:0".parse().expect("an address")
 }
 
-async fn open(running: &Running) -> Socket {
-    Socket::open(&Recorder::none(), 0, (0, running.address, 1)).await.expect("a socket")
+async fn open(running: &Running) -> PlayerSocket {
+    PlayerSocket::open(&Recorder::disabled(), 0, (0, running.address, 1)).await.expect("a socket")
 }
 
-async fn ask(socket: &mut Socket, key: &str, token: Option<String>) {
+async fn ask(socket: &mut PlayerSocket, key: &str, token: Option<String>) {
     let start = FromPlayer::Start {
         key: RequestKey(key.into()),
         group: "ticket".into(),
@@ -98,13 +110,13 @@
         setup_timeout: 2.0,
         token,
     };
-    socket.say(&start).await.expect("said");
+    socket.send(&start).await.expect("said");
 }
 
-async fn hear(socket: &mut Socket, of: impl Fn(&ToPlayer) -> bool) -> ToPlayer {
+async fn hear(socket: &mut PlayerSocket, of: impl Fn(&ToPlayer) -> bool) -> ToPlayer {
     within(15, async {
         loop {
-            let m = socket.hear().await.expect("an open socket");
+            let m = socket.receive().await.expect("an open socket");
             if of(&m) {
                 return m;
             }
@@ -113,7 +125,7 @@
     .await
 }
 
-async fn answer(socket: &mut Socket) -> ToPlayer {
+async fn answer(socket: &mut PlayerSocket) -> ToPlayer {
     hear(socket, |m| m.is_final() || matches!(m, ToPlayer::Error { .. })).await
 }
 
@@ -130,7 +142,7 @@
     keeper.abort();
     let _ = keeper.ended().await;
     let token = hall.token("a", 20.0).expect("a token");
-    socket.say(&FromPlayer::Renew { key: RequestKey("key-00001".into()), token }).await.expect("said");
+    socket.send(&FromPlayer::Renew { key: RequestKey("key-00001".into()), token }).await.expect("said");
     hear(&mut socket, |m| matches!(m, ToPlayer::Renewed { .. })).await;
     let keeper = hall.keeper(at, 1).await;
     let second = hall.director(1, at).await;
@@ -183,8 +195,8 @@
     let old = hall.token("old", 60.0);
     ask(&mut socket, "key-00001", hall.token("a", 60.0)).await;
     assert!(matches!(answer(&mut socket).await, ToPlayer::Playing { .. }));
-    hall.issuing.next_key().expect("a key");
-    hall.issuing.drop_old().expect("written");
+    hall.token_issuer.next_key().expect("a key");
+    hall.token_issuer.retire_old_keys().expect("written");
     // Taken up when the file is looked at next: a new token is refused until then.
     within(10, async {
         for k in 0.. {
@@ -208,8 +220,8 @@
     };
     assert_eq!(message, "the token's key \"key-1\" is not known: ask for a new one");
     // The one that plays has not heard of it.
-    socket.say(&FromPlayer::Ping { n: 7 }).await.expect("said");
-    assert!(matches!(within(5, socket.hear()).await, Some(ToPlayer::Pong { n: 7 })));
+    socket.send(&FromPlayer::Ping { n: 7 }).await.expect("said");
+    assert!(matches!(within(5, socket.receive()).await, Some(ToPlayer::Pong { n: 7 })));
     assert_eq!(director.counts().playing, 2);
 }
 
@@ -234,7 +246,7 @@
         setup_timeout: 2.0,
         token: None,
     };
-    socket.say(&start).await.expect("said");
+    socket.send(&start).await.expect("said");
     assert!(matches!(answer(&mut socket).await, ToPlayer::Playing { .. }));
 }
 
@@ -243,11 +255,11 @@
     let hall = hall().await;
     let ledger = hall.dir.path().join("inside").display().to_string();
     let shared = settings(&hall.size, "")
-        .replace(tickets::KEYS, &hall.issuing.keys().display().to_string())
-        .replace(&format!("address = \"{}\"", tickets::KEEPER), &format!("ledger = {ledger:?}"));
-    let shared = format!("{shared}school({:?}, seats = 1)\n", tickets::school(0));
+        .replace(schools::KEYS_PLACEHOLDER, &hall.token_issuer.key_set_path().display().to_string())
+        .replace(&format!("address = \"{}\"", schools::KEEPER_PLACEHOLDER), &format!("ledger = {ledger:?}"));
+    let shared = format!("{shared}school({:?}, seats = 1)\n", schools::school_name(0));
     let script =
-        director_script(&shared, &hall.size, 0, hall.world.roster_at, Path::new("/nonexistent/list"));
+        director_script(&shared, &hall.size, 0, hall.world.roster_address, Path::new("/nonexistent/list"));
     let begin = async || {
         let deployment = Deployment::parse("test", &script).expect("good settings");
         let running =
--- a/crates/kelpdoor-lab/tests/sockets.rs
+++ b/crates/kelpdoor-lab/tests/sockets.rs
@@ -9,10 +9,10 @@
 use futures_util::{SinkExt, StreamExt};
 use kelpdoor_api::{ErrorCode, FromPlayer, RequestKey, SUBPROTOCOL, ToPlayer};
 use kelpdoor_director::{Running, ServeOptions, journal, load_list, serve};
-use kelpdoor_lab::fleet::{Fold, World, director_script, settings};
-use kelpdoor_lab::player::Socket;
+use kelpdoor_lab::fleet::{Processes, StandIns, director_script, settings};
+use kelpdoor_lab::player::PlayerSocket;
 use kelpdoor_lab::record::Recorder;
-use kelpdoor_lab::trouble::{Script, Size};
+use kelpdoor_lab::trouble::{DaySettings, TroubleScript};
 use kelpdoor_script::Deployment;
 use nix::sys::signal::Signal;
 use tokio::net::TcpStream;
@@ -25,8 +25,8 @@
 
 const LAB: &str = env!("CARGO_BIN_EXE_kelpdoor-lab");
 
-fn small() -> Size {
-    Size { directors: 1, nodes: 4, racks: 2, roster_lag: 0.0, ..Size::default() }
+fn small() -> DaySettings {
+    DaySettings { directors: 1, nodes: 4, racks: 2, roster_lag: 0.0, ..DaySettings::default() }
 }
 
 async fn within<T>(seconds: u64, what: impl Future<Output = T>) -> T {
@@ -44,12 +44,12 @@
 }
 
 /// Stand-ins, and a director in this process that has heard of them.
-async fn world(extra: &str) -> (World, Running) {
+async fn world(extra: &str) -> (StandIns, Running) {
     let size = small();
     let shared = settings(&size, "");
-    let world = World::start(&size, &shared, Recorder::none()).await.expect("stand-ins");
+    let world = StandIns::start(&size, &shared, Recorder::disabled()).await.expect("stand-ins");
     let shared = shared.replace("players(resume_for = 5, remember = 20)", extra);
-    let script = director_script(&shared, &size, 0, world.roster_at, Path::new("/nonexistent/list"));
+    let script = director_script(&shared, &size, 0, world.roster_address, Path::new("/nonexistent/list"));
     let deployment = Deployment::parse("test", &script).expect("good settings");
     let running = serve(ServeOptions { deployment, agreed: None, journal: None }).await.expect("a director");
     until(|| running.counts().links_up == 4).await;
@@ -58,8 +58,8 @@
 
 const PLAYERS: &str = "players(resume_for = 5, remember = 20)";
 
-async fn open(address: SocketAddr) -> Socket {
-    Socket::open(&Recorder::none(), 0, (0, address, 1)).await.expect("a socket")
+async fn open(address: SocketAddr) -> PlayerSocket {
+    PlayerSocket::open(&Recorder::disabled(), 0, (0, address, 1)).await.expect("a socket")
 }
 
 async fn raw(address: SocketAddr, protocol: &str) -> Result<WebSocketStream<TcpStream>, Error> {
@@ -79,10 +79,10 @@
     }
 }
 
-async fn final_of(socket: &mut Socket, key: &str) -> ToPlayer {
+async fn final_of(socket: &mut PlayerSocket, key: &str) -> ToPlayer {
     within(10, async {
         loop {
-            let m = socket.hear().await.expect("an open socket");
+            let m = socket.receive().await.expect("an open socket");
             if m.is_final() && m.key().is_some_and(|k| k.0 == key) {
                 return m;
             }
@@ -109,14 +109,14 @@
 async fn a_session_from_player_to_node_and_back() {
     let (world, running) = world(PLAYERS).await;
     let mut player = open(running.address).await;
-    player.say(&start("key-00001", "title-01")).await.unwrap();
+    player.send(&start("key-00001", "title-01")).await.unwrap();
     let ToPlayer::Playing { uri, .. } = final_of(&mut player, "key-00001").await else {
         panic!("not playing")
     };
     assert!(uri.starts_with("rtsp://127.0.0.1:") && uri.ends_with("/title-01"), "{uri}");
     assert_eq!(world.nodes.with_fleet(|f| f.streams.values().filter(|s| s.playing).count()), 1);
-    player.say(&FromPlayer::Stop { key: RequestKey("key-00001".into()) }).await.unwrap();
-    let ended = within(5, player.hear()).await;
+    player.send(&FromPlayer::Stop { key: RequestKey("key-00001".into()) }).await.unwrap();
+    let ended = within(5, player.receive()).await;
     assert!(matches!(ended, Some(ToPlayer::Ended { .. })), "{ended:?}");
     until(|| world.nodes.with_fleet(|f| f.streams.is_empty())).await;
 }
@@ -125,7 +125,7 @@
 async fn bad_input_gets_a_plain_error_and_others_see_nothing_of_it() {
     let (_world, running) = world(PLAYERS).await;
     let mut other = open(running.address).await;
-    other.say(&start("key-other", "title-01")).await.unwrap();
+    other.send(&start("key-other", "title-01")).await.unwrap();
     final_of(&mut other, "key-other").await;
 
     let refused = raw(running.address, "kelpdoor.session.v9").await;
@@ -162,10 +162,10 @@
     assert_eq!(closed_with(&mut ws).await, Some(1009));
 
     // The other player's session never noticed.
-    other.say(&FromPlayer::Ping { n: 7 }).await.unwrap();
+    other.send(&FromPlayer::Ping { n: 7 }).await.unwrap();
     let heard = within(5, async {
         loop {
-            match other.hear().await {
+            match other.receive().await {
                 Some(ToPlayer::Rung { .. }) => {}
                 heard => return heard,
             }
@@ -222,7 +222,7 @@
     .await;
     assert!(cut, "never closed");
     let mut other = open(running.address).await;
-    other.say(&start("key-00002", "title-01")).await.unwrap();
+    other.send(&start("key-00002", "title-01")).await.unwrap();
     assert!(matches!(final_of(&mut other, "key-00002").await, ToPlayer::Playing { .. }));
 }
 
@@ -238,11 +238,11 @@
 async fn a_lost_socket_leaves_its_session_and_a_new_one_takes_it_up() {
     let (world, running) = world(PLAYERS).await;
     let mut player = open(running.address).await;
-    player.say(&start("key-00001", "title-01")).await.unwrap();
+    player.send(&start("key-00001", "title-01")).await.unwrap();
     let first = final_of(&mut player, "key-00001").await;
     drop(player);
     let mut player = open(running.address).await;
-    player.say(&start("key-00001", "title-01")).await.unwrap();
+    player.send(&start("key-00001", "title-01")).await.unwrap();
     let ToPlayer::Playing { uri, .. } = final_of(&mut player, "key-00001").await else {
         panic!("not playing")
     };
@@ -254,63 +254,66 @@
 async fn shutting_down_answers_what_was_taken_and_ends_what_plays() {
     let (world, mut running) = world(PLAYERS).await;
     let mut player = open(running.address).await;
-    player.say(&start("key-00001", "title-01")).await.unwrap();
+    player.send(&start("key-00001", "title-01")).await.unwrap();
     final_of(&mut player, "key-00001").await;
     // Nothing answers any more: the second request's SETUP stays out.
     (0..4).for_each(|id| world.nodes.silence(id));
-    player.say(&start("key-00002", "title-01")).await.unwrap();
-    player.say(&FromPlayer::Ping { n: 1 }).await.unwrap();
-    while within(5, player.hear()).await != Some(ToPlayer::Pong { n: 1 }) {}
+    player.send(&start("key-00002", "title-01")).await.unwrap();
+    player.send(&FromPlayer::Ping { n: 1 }).await.unwrap();
+    while within(5, player.receive()).await != Some(ToPlayer::Pong { n: 1 }) {}
     running.shut_down().await;
-    player.say(&start("key-00003", "title-01")).await.unwrap();
+    player.send(&start("key-00003", "title-01")).await.unwrap();
     assert!(matches!(final_of(&mut player, "key-00003").await, ToPlayer::Busy { .. }));
     let owed = final_of(&mut player, "key-00002").await;
     assert!(matches!(owed, ToPlayer::Busy { .. } | ToPlayer::Failed { .. }), "{owed:?}");
     let mut ended = false;
-    while let Some(heard) = within(5, player.hear()).await {
+    while let Some(heard) = within(5, player.receive()).await {
         ended |= matches!(heard, ToPlayer::Ended { .. });
     }
     assert!(ended, "the playing session was not ended");
     within(5, running.ended()).await.expect("a good end");
 }
 
-async fn daemon(dir: &Path, world: &World, roster_at: SocketAddr, journal: bool) -> (Fold, SocketAddr) {
+async fn daemon(
+    dir: &Path, world: &StandIns, roster_address: SocketAddr, journal: bool,
+) -> (Processes, SocketAddr) {
     let size = small();
     let shared = settings(&size, "");
     let program = PathBuf::from(LAB);
-    let mut fold = Fold::new(&size, &shared, program, roster_at, world.recorder.clone(), dir, journal);
-    let address = within(10, fold.start(0)).await.expect("a daemon");
-    (fold, address)
+    let mut processes =
+        Processes::new(&size, &shared, program, roster_address, world.recorder.clone(), dir, journal);
+    let address = within(10, processes.start(0)).await.expect("a daemon");
+    (processes, address)
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_daemon_starts_again_from_its_kept_list() {
     let size = small();
-    let world = World::start(&size, &settings(&size, ""), Recorder::none()).await.unwrap();
+    let world = StandIns::start(&size, &settings(&size, ""), Recorder::disabled()).await.unwrap();
     let dir = tempfile::tempdir().unwrap();
-    let (mut fold, _) = daemon(dir.path(), &world, world.roster_at, false).await;
+    let (mut processes, _) = daemon(dir.path(), &world, world.roster_address, false).await;
     let kept = dir.path().join("director-0.list");
     until(|| load_list(&kept).unwrap().is_some_and(|l| l.nodes.len() == 4)).await;
-    fold.kill(0).await;
+    processes.kill(0).await;
     // No roster any more: the list that it kept is all it has.
     let (_fold, address) = daemon(dir.path(), &world, "127.0.0.1:1".parse().unwrap(), false).await;
     let mut player = open(address).await;
-    player.say(&start("key-00001", "title-01")).await.unwrap();
+    player.send(&start("key-00001", "title-01")).await.unwrap();
     assert!(matches!(final_of(&mut player, "key-00001").await, ToPlayer::Playing { .. }));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_second_signal_ends_at_once() {
     let size = small();
-    let world = World::start(&size, &settings(&size, ""), Recorder::none()).await.unwrap();
+    let world = StandIns::start(&size, &settings(&size, ""), Recorder::disabled()).await.unwrap();
     let dir = tempfile::tempdir().unwrap();
-    let (mut fold, address) = daemon(dir.path(), &world, world.roster_at, false).await;
+    let (mut processes, address) = daemon(dir.path(), &world, world.roster_address, false).await;
     let mut player = open(address).await;
     within(10, async {
         // Until the roster has come.
         loop {
-            player.say(&start("key-00001", "title-01")).await.unwrap();
-            if player.hear().await.is_some_and(|m| m.is_final()) {
+            player.send(&start("key-00001", "title-01")).await.unwrap();
+            if player.receive().await.is_some_and(|m| m.is_final()) {
                 return;
             }
         }
@@ -320,22 +323,22 @@
     let FromPlayer::Start { key: _, group, title, best_rung, .. } = start("x", "title-01") else { return };
     let key = RequestKey("key-00002".into());
     let long = FromPlayer::Start { key, group, title, best_rung, setup_timeout: 50.0, token: None };
-    player.say(&long).await.unwrap();
-    player.say(&FromPlayer::Ping { n: 1 }).await.unwrap();
-    while within(5, player.hear()).await != Some(ToPlayer::Pong { n: 1 }) {}
-    fold.signal(0, Signal::SIGTERM);
+    player.send(&long).await.unwrap();
+    player.send(&FromPlayer::Ping { n: 1 }).await.unwrap();
+    while within(5, player.receive()).await != Some(ToPlayer::Pong { n: 1 }) {}
+    processes.signal(0, Signal::SIGTERM);
     // Once new sessions are turned away, the first signal has been heard.
     within(5, async {
         for k in 3.. {
             let key = format!("key-{k:05}");
-            player.say(&start(&key, "title-03")).await.unwrap();
+            player.send(&start(&key, "title-03")).await.unwrap();
             if matches!(final_of(&mut player, &key).await, ToPlayer::Busy { .. }) {
                 return;
             }
         }
     })
     .await;
-    let ended_well = within(5, fold.end(0)).await.unwrap();
+    let ended_well = within(5, processes.end(0)).await.unwrap();
     assert!(!ended_well, "the second signal is no good end");
 }
 
@@ -347,13 +350,14 @@
 rack_sag(at = 2, racks = [1], lasts = 3, factor = 0.3)
 vanish(at = 3, nodes = [4], lasts = 1)
 "#;
-    let script = Script::run("test", text).expect("a good script");
+    let script = TroubleScript::parse("test", text).expect("a good script");
     let dir = tempfile::tempdir().unwrap();
     let over = kelpdoor_lab::day::run(&script, "", Path::new(LAB), dir.path(), true, |_| {}).await.unwrap();
-    assert!(over.ended_well);
+    assert!(over.exited_cleanly);
     for (settings, kept) in over.journals {
-        let book = Deployment::read(&settings).expect("good settings");
-        let done = journal::replay(BufReader::new(std::fs::File::open(kept).unwrap()), Some(&book)).unwrap();
+        let deployment = Deployment::read(&settings).expect("good settings");
+        let done =
+            journal::replay(BufReader::new(std::fs::File::open(kept).unwrap()), Some(&deployment)).unwrap();
         assert!(done.inputs > 100 && done.effects > 100, "{done:?}");
         assert_eq!(done.differs, None);
     }
