--- a/crates/kelpdoor-lab/src/day.rs
+++ b/crates/kelpdoor-lab/src/day.rs
@@ -1,4 +1,5 @@
-//! A bad day: players come, troubles happen, and everything that crosses a socket is recorded.
+//! Runs a bad day: starts stand-ins and directors, lets players arrive and troubles happen by a script, and records every
+//! message.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -18,13 +19,15 @@
 use crate::trouble::{Trouble, TroubleKind, TroubleScript};
 use crate::voting::{Agreeing, Voting};
 
-/// s; a lease, a clock error and a sweep of the keeper's, after its restart.
-const LAST_LEASE: f64 = 16.0;
-/// The default bad day.
+/// Seconds after which the keeper has freed the seats of killed directors, counted from its restart: a lease, the clock
+/// error and one run of its expiry check.
+const SEAT_EXPIRY_TIME: f64 = 16.0;
+/// The script of the default day.
 pub const DEFAULT_SCRIPT: &str = include_str!("../scripts/bad-day.star");
-/// A short one.
+/// The script of the short day.
 pub const SHORT_SCRIPT: &str = include_str!("../scripts/short-day.star");
 
+/// Draws the session that a player wants; a given title is always one of the group `lecture`.
 fn draw_session(script: &TroubleScript, rng: &mut Rng, player: u32, title: Option<&str>) -> DesiredSession {
     let size = &script.size;
     let draw = rng.f64();
@@ -35,7 +38,7 @@
         _ => ("paid", 1.0, 3.0),
     };
     let group = if title.is_some() { "lecture" } else { group };
-    // Some titles are wanted far more than others.
+    // Titles with low numbers are drawn far more often than others.
     let any = format!("title-{:02}", (40.0 * rng.f64().powi(2)) as u32);
     DesiredSession {
         player,
@@ -51,8 +54,8 @@
     }
 }
 
-/// Who comes when, by the script's seed.
-fn arrivals(script: &TroubleScript) -> Vec<(f64, DesiredSession)> {
+/// Draws when each player arrives, in seconds from the start, and what it wants, by the script's seed.
+fn draw_arrivals(script: &TroubleScript) -> Vec<(f64, DesiredSession)> {
     let size = &script.size;
     let mut rng = Rng::with_seed(size.seed ^ 0x5eed);
     let mut all = Vec::new();
@@ -72,7 +75,7 @@
         let title = if t.title.is_empty() { "title-11" } else { &t.title };
         crowd(t.at, t.players, title, &mut rng, t.lasts.max(0.1));
     }
-    // Of their own chance, so that they change nothing of the others.
+    // A generator of its own, so that viewers with tokens change no draw of the others.
     let mut rng = Rng::with_seed(size.seed ^ 0x71c8);
     for k in 0..size.tickets {
         let mut wanted = draw_session(script, &mut rng, next + k, None);
@@ -91,7 +94,7 @@
     all
 }
 
-/// Where troubles are acted out.
+/// Applies troubles to the stand-ins and processes of a day.
 #[derive(Clone)]
 pub struct TroubleRunner {
     pub stand_ins: Arc<StandIns>,
@@ -100,21 +103,22 @@
     pub agreeing: Option<Agreeing>,
 }
 
-async fn pause(seconds: f64) {
+async fn sleep_seconds(seconds: f64) {
     sleep(Duration::from_secs_f64(seconds)).await;
 }
 
 impl TroubleRunner {
-    async fn each_back(&self, nodes: &[u32], wait: f64) {
-        pause(wait).await;
+    /// Restarts the nodes after `wait` seconds.
+    async fn restart_after(&self, nodes: &[u32], wait: f64) {
+        sleep_seconds(wait).await;
         for &id in nodes {
             if let Err(e) = self.stand_ins.nodes.restart(id).await {
-                tracing::error!(id, %e, "a node could not be started again");
+                tracing::error!(id, %e, "failed to restart a node");
             }
         }
     }
 
-    /// Does one trouble, from its begin to its end.
+    /// Applies one trouble and returns when it has ended.
     pub async fn apply(&self, kind: TroubleKind, t: &Trouble) {
         let nodes = &self.stand_ins.nodes;
         let text = format!("{kind:?} {}", serde_json::to_string(t).unwrap_or_default());
@@ -122,32 +126,32 @@
         match kind {
             TroubleKind::Crash => {
                 t.nodes.iter().for_each(|&id| nodes.kill(id, "crash"));
-                self.each_back(&t.nodes, t.lasts).await;
+                self.restart_after(&t.nodes, t.lasts).await;
             }
             TroubleKind::Vanish => {
                 t.nodes.iter().for_each(|&id| nodes.silence(id));
-                pause(t.lasts).await;
+                sleep_seconds(t.lasts).await;
                 t.nodes.iter().for_each(|&id| nodes.kill(id, "restart after silence"));
-                self.each_back(&t.nodes, 0.2).await;
+                self.restart_after(&t.nodes, 0.2).await;
             }
             TroubleKind::Slow => {
-                self.links(&t.nodes, t.factor);
-                pause(t.lasts).await;
-                self.links(&t.nodes, 1.0);
+                self.set_link_factor(&t.nodes, t.factor);
+                sleep_seconds(t.lasts).await;
+                self.set_link_factor(&t.nodes, 1.0);
             }
             TroubleKind::Neighbour => {
                 let end = Instant::now() + Duration::from_secs_f64(t.lasts);
                 while Instant::now() < end {
-                    self.links(&t.nodes, t.factor);
-                    pause(1.5).await;
-                    self.links(&t.nodes, 1.0);
-                    pause(1.0).await;
+                    self.set_link_factor(&t.nodes, t.factor);
+                    sleep_seconds(1.5).await;
+                    self.set_link_factor(&t.nodes, 1.0);
+                    sleep_seconds(1.0).await;
                 }
             }
             TroubleKind::RackSag => {
-                self.uplinks(&t.racks, t.factor);
-                pause(t.lasts).await;
-                self.uplinks(&t.racks, 1.0);
+                self.set_uplink_factor(&t.racks, t.factor);
+                sleep_seconds(t.lasts).await;
+                self.set_uplink_factor(&t.racks, 1.0);
             }
             TroubleKind::Ageing => {
                 for step in 1..=8 {
@@ -158,38 +162,38 @@
                             }
                         }
                     });
-                    pause(t.lasts / 8.0).await;
+                    sleep_seconds(t.lasts / 8.0).await;
                 }
                 t.nodes.iter().for_each(|&id| nodes.kill(id, "died of age"));
-                self.each_back(&t.nodes, 3.0).await;
+                self.restart_after(&t.nodes, 3.0).await;
             }
             TroubleKind::Deploy => {
                 for &id in &t.nodes {
                     nodes.drain(id, true);
-                    pause(t.notice).await;
+                    sleep_seconds(t.notice).await;
                     nodes.kill(id, "deploy");
-                    pause(0.3).await;
-                    self.each_back(&[id], 0.0).await;
-                    pause((t.lasts / t.nodes.len() as f64 - t.notice - 0.3).max(0.0)).await;
+                    sleep_seconds(0.3).await;
+                    self.restart_after(&[id], 0.0).await;
+                    sleep_seconds((t.lasts / t.nodes.len() as f64 - t.notice - 0.3).max(0.0)).await;
                 }
             }
             TroubleKind::DiscoveryStale => {
-                let usual = self.script.size.roster_lag;
-                self.stand_ins.roster.lag(usual + t.factor);
-                pause(t.lasts).await;
-                self.stand_ins.roster.lag(usual);
+                let normal_lag = self.script.size.roster_lag;
+                self.stand_ins.roster.lag(normal_lag + t.factor);
+                sleep_seconds(t.lasts).await;
+                self.stand_ins.roster.lag(normal_lag);
             }
             TroubleKind::ReportLate => {
                 nodes.notification_delays(|x| x.extra += t.factor);
-                pause(t.lasts).await;
+                sleep_seconds(t.lasts).await;
                 nodes.notification_delays(|x| x.extra -= t.factor);
             }
             TroubleKind::BalancerRoll => {
                 for &d in &t.directors {
                     self.processes.lock().await.kill(d as usize).await;
-                    pause(t.notice).await;
+                    sleep_seconds(t.notice).await;
                     if let Err(e) = self.processes.lock().await.start(d as usize).await {
-                        tracing::error!(d, %e, "a director could not be started again");
+                        tracing::error!(d, %e, "failed to restart a director");
                     }
                 }
             }
@@ -197,7 +201,7 @@
                 for &d in &t.directors {
                     self.processes.lock().await.stall(d as usize, true);
                 }
-                pause(t.lasts).await;
+                sleep_seconds(t.lasts).await;
                 for &d in &t.directors {
                     self.processes.lock().await.stall(d as usize, false);
                 }
@@ -208,39 +212,39 @@
                 let here = |id: &u32| size.zones[(id * zones / size.nodes) as usize] == t.zone;
                 let ids: Vec<u32> = (0..size.nodes).filter(here).collect();
                 ids.iter().for_each(|&id| nodes.kill(id, "its room was lost"));
-                self.each_back(&ids, t.lasts).await;
+                self.restart_after(&ids, t.lasts).await;
             }
             TroubleKind::KeeperRoll => {
                 if let Some(keeper) = self.processes.lock().await.keeper.as_mut() {
                     keeper.kill().await;
                 }
                 self.processes.lock().await.note_keeper("killed");
-                pause(t.notice).await;
+                sleep_seconds(t.notice).await;
                 let mut processes = self.processes.lock().await;
                 if let Some(keeper) = processes.keeper.as_mut() {
                     if let Err(e) = keeper.restart().await {
-                        tracing::error!(%e, "the keeper could not be started again");
+                        tracing::error!(%e, "failed to restart the keeper");
                     }
                     processes.note_keeper("started");
                 }
             }
             TroubleKind::KeeperStall => {
                 self.stall_keeper(true).await;
-                pause(t.lasts).await;
+                sleep_seconds(t.lasts).await;
                 self.stall_keeper(false).await;
             }
             TroubleKind::NewKey => {
                 let token_issuer = self.processes.lock().await.token_issuer.clone();
                 let Some(token_issuer) = token_issuer else { return };
                 let changed = token_issuer.next_key();
-                pause(t.lasts).await;
+                sleep_seconds(t.lasts).await;
                 if let Err(e) = changed.and_then(|()| token_issuer.retire_old_keys()) {
-                    tracing::error!(%e, "the key could not be changed");
+                    tracing::error!(%e, "failed to change the signing key");
                 }
             }
             TroubleKind::HotKey => {}
             TroubleKind::Cut | TroubleKind::Late | TroubleKind::Trickle => {
-                let set = |on: bool| {
+                let set_fault = |on: bool| {
                     let act = move |w: &mut Way| match kind {
                         TroubleKind::Cut => w.cut = on,
                         TroubleKind::Late => w.late = if on { t.factor } else { 0.0 },
@@ -248,38 +252,40 @@
                     };
                     move |between: &Between, from, to| between.set(from, to, act)
                 };
-                self.lines(t, set(true)).await;
-                pause(t.lasts).await;
-                self.lines(t, set(false)).await;
+                self.for_each_path(t, set_fault(true)).await;
+                sleep_seconds(t.lasts).await;
+                self.for_each_path(t, set_fault(false)).await;
+            }
+            TroubleKind::LineReset => {
+                self.for_each_path(t, |between, from, to| between.reset(from, to)).await
             }
-            TroubleKind::LineReset => self.lines(t, |between, from, to| between.reset(from, to)).await,
             TroubleKind::VoterRoll | TroubleKind::VoterDisk => {
                 for &v in &t.voters {
-                    self.voter(async |voting| {
+                    self.with_voting(async |voting| {
                         voting.kill(v).await;
                         if kind == TroubleKind::VoterDisk { voting.lose_disk(v) } else { Ok(()) }
                     })
                     .await;
-                    pause(t.notice).await;
-                    self.voter(async |voting| voting.again(v).await).await;
+                    sleep_seconds(t.notice).await;
+                    self.with_voting(async |voting| voting.again(v).await).await;
                 }
             }
             TroubleKind::VoterStall => {
                 for on in [true, false] {
-                    self.voter(async |voting| {
+                    self.with_voting(async |voting| {
                         t.voters.iter().for_each(|&v| voting.stall(v, on));
                         Ok(())
                     })
                     .await;
-                    pause(if on { t.lasts } else { 0.0 }).await;
+                    sleep_seconds(if on { t.lasts } else { 0.0 }).await;
                 }
             }
             TroubleKind::VoterFull => {
                 for &v in &t.voters {
-                    self.voter(async |voting| voting.full_disk(v, true)).await;
-                    pause(t.lasts).await;
-                    self.voter(async |voting| {
-                        // It ended at its first write, if any came.
+                    self.with_voting(async |voting| voting.full_disk(v, true)).await;
+                    sleep_seconds(t.lasts).await;
+                    self.with_voting(async |voting| {
+                        // The voter has ended by itself if it tried to write.
                         voting.full_disk(v, false)?;
                         voting.kill(v).await;
                         voting.again(v).await
@@ -291,7 +297,7 @@
                 let through = t.directors.first().copied().unwrap_or(0);
                 let Some(agreeing) = &self.agreeing else { return };
                 if let Err(e) = agreeing.proposer.lock().await.propose(t.change, through).await {
-                    tracing::error!(%e, "a proposal");
+                    tracing::error!(%e, "failed to propose a document");
                 }
             }
             TroubleKind::WallStep => {
@@ -300,32 +306,32 @@
                 for off in [far, 0.0] {
                     for &d in &t.directors {
                         if let Err(e) = agreeing.step_wall(d, off) {
-                            tracing::error!(%e, "a wall clock");
+                            tracing::error!(%e, "failed to step a director's wall clock");
                         }
                     }
-                    pause(if off == far { t.lasts } else { 0.0 }).await;
+                    sleep_seconds(if off == far { t.lasts } else { 0.0 }).await;
                 }
             }
             TroubleKind::VoterList => {
                 let through = t.directors.first().copied().unwrap_or(0);
                 let Some(agreeing) = &self.agreeing else { return };
-                self.voter(async |voting| voting.all_up(&t.voters).await).await;
-                // Who joins has to be heard of first: an operator looks and tries again.
+                self.with_voting(async |voting| voting.all_up(&t.voters).await).await;
+                // The proposal is refused until the joining voters are known, so it is tried again as an operator would.
                 let mut off = Ok(None);
                 for _ in 0..8 {
-                    pause(0.3).await;
+                    sleep_seconds(0.3).await;
                     off = agreeing.proposer.lock().await.hand_over(t.change, through, &t.voters).await;
                     if !matches!(off, Ok(None)) {
                         break;
                     }
                 }
                 match off {
-                    Err(e) => tracing::error!(%e, "a list of voters"),
+                    Err(e) => tracing::error!(%e, "failed to propose a list of voters"),
                     Ok(None) => {}
                     Ok(Some(off)) => {
-                        self.voter(async |voting| voting.now_listed(&t.voters).await).await;
-                        pause(t.notice).await;
-                        self.voter(async |voting| {
+                        self.with_voting(async |voting| voting.now_listed(&t.voters).await).await;
+                        sleep_seconds(t.notice).await;
+                        self.with_voting(async |voting| {
                             voting.end_off(&off).await;
                             Ok(())
                         })
@@ -335,13 +341,13 @@
             }
             TroubleKind::Preempt => {
                 t.nodes.iter().for_each(|&id| nodes.drain(id, true));
-                pause(t.notice).await;
+                sleep_seconds(t.notice).await;
                 t.nodes.iter().for_each(|&id| nodes.kill(id, "taken away"));
-                self.each_back(&t.nodes, t.lasts).await;
+                self.restart_after(&t.nodes, t.lasts).await;
             }
             TroubleKind::Drain => {
                 t.nodes.iter().for_each(|&id| nodes.drain(id, true));
-                pause(t.lasts).await;
+                sleep_seconds(t.lasts).await;
                 t.nodes.iter().for_each(|&id| nodes.drain(id, false));
             }
         }
@@ -355,17 +361,17 @@
         }
     }
 
-    /// Does something to the voters, where the day has any.
-    async fn voter(&self, act: impl AsyncFnOnce(&mut Voting) -> Result<()>) {
+    /// Runs `act` on the voters, if the day has any, and logs its error.
+    async fn with_voting(&self, act: impl AsyncFnOnce(&mut Voting) -> Result<()>) {
         let Some(agreeing) = &self.agreeing else { return };
         if let Err(e) = act(&mut *agreeing.voting.lock().await).await {
-            tracing::error!(%e, "a voter");
+            tracing::error!(%e, "failed to control a voter");
         }
     }
 
-    /// Does something to each way that a trouble names: between directors and voters, or, where it names no director,
-    /// between the voters named and the others.
-    async fn lines(&self, t: &Trouble, act: impl Fn(&Between, Site, Site)) {
+    /// Calls `act` for each direction of each path that a trouble names: between its directors and its voters, or, if it
+    /// names no director, between its voters and all other voters.
+    async fn for_each_path(&self, t: &Trouble, act: impl Fn(&Between, Site, Site)) {
         let Some(Agreeing { between, .. }) = &self.agreeing else { return };
         let near: Vec<Site> = if t.directors.is_empty() {
             t.voters.iter().map(|&v| Site::Voter(v)).collect()
@@ -390,7 +396,7 @@
         }
     }
 
-    fn links(&self, nodes: &[u32], factor: f64) {
+    fn set_link_factor(&self, nodes: &[u32], factor: f64) {
         self.stand_ins.nodes.with_fleet(|f| {
             for id in nodes {
                 if let Some(n) = f.nodes.get_mut(id) {
@@ -400,7 +406,7 @@
         });
     }
 
-    fn uplinks(&self, racks: &[u16], factor: f64) {
+    fn set_uplink_factor(&self, racks: &[u16], factor: f64) {
         self.stand_ins.nodes.with_fleet(|f| {
             for &r in racks {
                 f.uplink_factor[usize::from(r)] = factor;
@@ -409,25 +415,26 @@
     }
 }
 
-/// What a day left behind.
+/// Files and outcome of a day.
 pub struct DayResult {
     pub record: PathBuf,
-    /// Whether each director ended well when asked to.
+    /// Whether each director exited with success when asked to.
     pub exited_cleanly: bool,
+    /// Settings and journal of each director; the journal exists if it was asked for.
     pub journals: Vec<(PathBuf, PathBuf)>,
 }
 
-/// What the keeper counts as held when nobody holds anything any more: nothing, as soon as the leases of directors that
-/// were killed are over.
-async fn seats_left(processes: &mut Processes, recorder: &Recorder) -> Result<()> {
+/// Records the seats that the keeper counts as held after all sessions have ended. That is none as soon as the leases of
+/// killed directors have expired, so it waits up to [`SEAT_EXPIRY_TIME`] for it.
+async fn record_seats_left(processes: &mut Processes, recorder: &Recorder) -> Result<()> {
     let Some(keeper) = &mut processes.keeper else { return Ok(()) };
-    // It may have been under trouble at the end of the day.
+    // A trouble may have stalled or stopped the keeper at the end of the day.
     keeper.stall(false);
     if keeper.seat_counts().await.is_err() {
         keeper.kill().await;
         keeper.restart().await?;
     }
-    let end = Instant::now() + Duration::from_secs_f64(LAST_LEASE);
+    let end = Instant::now() + Duration::from_secs_f64(SEAT_EXPIRY_TIME);
     let held = loop {
         let (held, _) = keeper.seat_counts().await?;
         if held == 0 || Instant::now() > end {
@@ -440,12 +447,14 @@
     Ok(())
 }
 
-/// Plays a script to its end. `tick` is told how far the day is, in seconds.
+/// Runs a script to its end and leaves the record in `dir`. `other` replaces the default settings unless it is empty;
+/// with `journal` each director writes a journal. `on_progress` gets the seconds since the start.
 ///
 /// # Errors
-/// Where stand-ins or directors cannot be started, or the record not be written.
+/// If stand-ins or directors cannot be started, or the record cannot be written.
 pub async fn run(
-    script: &TroubleScript, other: &str, program: &Path, dir: &Path, journal: bool, mut tick: impl FnMut(f64),
+    script: &TroubleScript, other: &str, program: &Path, dir: &Path, journal: bool,
+    mut on_progress: impl FnMut(f64),
 ) -> Result<DayResult> {
     let record = dir.join("record.zst");
     let (recorder, file) = Recorder::to_file(&record)?;
@@ -486,7 +495,7 @@
         });
     }
     let mut players = JoinSet::new();
-    for (at, wanted) in arrivals(&script) {
+    for (at, wanted) in draw_arrivals(&script) {
         let (directors, recorder, token_issuer) = (directors.clone(), recorder.clone(), token_issuer.clone());
         let seed = script.size.seed ^ (u64::from(wanted.player) << 20);
         players.spawn(async move {
@@ -495,18 +504,18 @@
         });
     }
     let end = started + Duration::from_secs_f64(script.size.seconds);
-    let mut calm = false;
+    let mut calm_recorded = false;
     while Instant::now() < end {
         sleep(Duration::from_millis(200)).await;
         while troubles.try_join_next().is_some() {}
-        if troubles.is_empty() && script.size.voters > 0 && !std::mem::replace(&mut calm, true) {
+        if troubles.is_empty() && script.size.voters > 0 && !std::mem::replace(&mut calm_recorded, true) {
             recorder.record(Event::Calm);
         }
-        tick(started.elapsed().as_secs_f64());
+        on_progress(started.elapsed().as_secs_f64());
     }
     let mut exited_cleanly = true;
     {
-        // What is still under trouble ends with the day.
+        // Troubles that have not ended yet end with the day.
         troubles.shutdown().await;
         let mut processes = processes.lock().await;
         for d in 0..script.size.directors as usize {
@@ -515,14 +524,14 @@
         }
     }
     players.shutdown().await;
-    seats_left(&mut *processes.lock().await, &recorder).await?;
+    record_seats_left(&mut *processes.lock().await, &recorder).await?;
     let journals = {
         let processes = processes.lock().await;
         (0..script.size.directors as usize)
             .map(|d| (processes.script_path(d), processes.journal_path(d)))
             .collect()
     };
-    // Stand-ins run on in tasks of this runtime; what they still put is of no interest.
+    // Stand-ins continue as tasks of this runtime; what they record from here on is dropped.
     file.finish()?;
     Ok(DayResult { record, exited_cleanly, journals })
 }
--- a/crates/kelpdoor-lab/src/node.rs
+++ b/crates/kelpdoor-lab/src/node.rs
@@ -1,4 +1,5 @@
-//! Stand-in media nodes on loopback sockets: RTSP as in `docs/node-protocol.md`, over the fluid links.
+//! Stand-in media nodes on loopback sockets. They speak RTSP as in `docs/node-protocol.md` and deliver streams over the
+//! links of [`crate::fluid`].
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,54 +17,59 @@
 use crate::record::{Event, Recorder, now};
 use crate::roster::Roster;
 
-/// How a stand-in is built.
+/// What a stand-in node is: its place in the fleet and its capacity.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     pub id: u32,
     pub zone: String,
     pub kind: String,
     pub cell: u16,
+    /// Relative to a standard node.
     pub size: f64,
+    /// Number of sessions that the node can hold.
     pub places: f64,
+    /// Rate of the node's link, kB/s.
     pub link_kb: f64,
 }
 
-/// How late the nodes tell things, s.
+/// How late nodes send their notifications, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct NotificationDelays {
+    /// Delay of each notification.
     pub seen_after: f64,
+    /// Interval of the notifications of link load; 0 for none.
     pub told_every: f64,
-    /// More of the same, by trouble.
+    /// Further delay while a trouble `report_late` lasts.
     pub extra: f64,
 }
 
-struct Conn {
+struct Connection {
     stream: Arc<TcpStream>,
     out: mpsc::UnboundedSender<Vec<u8>>,
     task: AbortHandle,
     cseq: u32,
-    /// Whether it was told of a shortage last, by node.
-    short: bool,
+    /// Whether the last share sent was below the full rate.
+    was_short: bool,
 }
 
 struct Process {
     task: AbortHandle,
-    conns: BTreeMap<u64, Conn>,
+    conns: BTreeMap<u64, Connection>,
 }
 
-/// A notice: node, connection, the node's id of a stream, and header fields.
-type Told = (u32, u64, String, Fields);
+/// A notification: node, connection, session id of a stream, and header fields.
+type Notification = (u32, u64, String, Fields);
 
 type Fields = Vec<(&'static str, String)>;
 
 struct State {
     fleet: FluidFleet,
-    builds: BTreeMap<u32, NodeConfig>,
+    configs: BTreeMap<u32, NodeConfig>,
     processes: BTreeMap<u32, Process>,
     notification_delays: NotificationDelays,
-    next: u64,
-    /// What is to be told, and when.
-    due: BTreeMap<(u64, u64), Told>,
+    next_id: u64,
+    /// Notifications to send, by time in microseconds and an id that keeps their order.
+    pending: BTreeMap<(u64, u64), Notification>,
 }
 
 /// All stand-in nodes.
@@ -72,44 +78,47 @@
     state: Arc<Mutex<State>>,
     recorder: Recorder,
     roster: Roster,
-    /// Falls of cold nodes.
-    fell: watch::Sender<u32>,
+    /// Number of cold nodes that failed under too many SETUPs.
+    cold_overloads: watch::Sender<u32>,
 }
 
 impl Nodes {
+    /// Creates the stand-ins without any node.
     pub fn new(
         fleet: FluidFleet, notification_delays: NotificationDelays, recorder: Recorder, roster: Roster,
     ) -> Self {
         let state = State {
             fleet,
-            builds: BTreeMap::new(),
+            configs: BTreeMap::new(),
             processes: BTreeMap::new(),
             notification_delays,
-            next: 1,
-            due: BTreeMap::new(),
+            next_id: 1,
+            pending: BTreeMap::new(),
         };
-        Nodes { state: Arc::new(Mutex::new(state)), recorder, roster, fell: watch::channel(0).0 }
+        Nodes { state: Arc::new(Mutex::new(state)), recorder, roster, cold_overloads: watch::channel(0).0 }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
+    /// Runs `act` on the model of links and nodes.
     pub fn with_fleet<T>(&self, act: impl FnOnce(&mut FluidFleet) -> T) -> T {
         act(&mut self.lock().fleet)
     }
 
+    /// Runs `act` on the delays of notifications.
     pub fn notification_delays(&self, act: impl FnOnce(&mut NotificationDelays)) {
         act(&mut self.lock().notification_delays);
     }
 
-    /// Nodes to which a connection stands.
+    /// Number of nodes with at least one connection.
     pub fn connected_nodes(&self) -> usize {
         self.lock().processes.values().filter(|p| !p.conns.is_empty()).count()
     }
 
-    /// Starts a node's process, cold unless `warm`, and lists it.
-    pub async fn start(&self, build: &NodeConfig, warm: bool) -> Result<SocketAddr> {
+    /// Starts a node's process, cold unless `warm`, and adds it to the roster.
+    pub async fn start(&self, config: &NodeConfig, warm: bool) -> Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let t = now();
@@ -122,54 +131,54 @@
                 silent: false,
                 draining: false,
                 started: if warm { t - 1e6 } else { t },
-                rack: usize::from(build.cell) % racks,
-                places: build.places,
-                link_kb: build.link_kb,
-                link_factor: s.fleet.nodes.get(&build.id).map_or(1.0, |n| n.link_factor),
+                rack: usize::from(config.cell) % racks,
+                places: config.places,
+                link_kb: config.link_kb,
+                link_factor: s.fleet.nodes.get(&config.id).map_or(1.0, |n| n.link_factor),
                 setup_factor: 1.0,
                 share: 1.0,
                 setups: Default::default(),
                 reported: Default::default(),
                 reported_at: 0.0,
             };
-            s.fleet.nodes.insert(build.id, node);
-            s.builds.insert(build.id, build.clone());
-            let (zone, cell) = (build.zone.clone(), build.cell);
+            s.fleet.nodes.insert(config.id, node);
+            s.configs.insert(config.id, config.clone());
+            let (zone, cell) = (config.zone.clone(), config.cell);
             self.recorder.record(Event::NodeUp {
-                node: build.id,
+                node: config.id,
                 cold: !warm,
-                places: build.places,
+                places: config.places,
                 zone,
                 cell,
             });
-            let task = tokio::spawn(self.clone().serve(build.id, listener)).abort_handle();
-            s.processes.insert(build.id, Process { task, conns: BTreeMap::new() });
+            let task = tokio::spawn(self.clone().serve(config.id, listener)).abort_handle();
+            s.processes.insert(config.id, Process { task, conns: BTreeMap::new() });
         }
         self.roster.node(RosterNode {
-            id: build.id,
+            id: config.id,
             address,
-            zone: build.zone.clone(),
-            kind: build.kind.clone(),
-            cell: build.cell,
+            zone: config.zone.clone(),
+            kind: config.kind.clone(),
+            cell: config.cell,
             phase: Phase::Ready,
-            size: build.size,
+            size: config.size,
             up_since: started,
         });
         Ok(address)
     }
 
-    /// Starts a node again as it was built.
+    /// Starts a node again, cold, with its previous configuration. Does nothing if it runs.
     pub async fn restart(&self, id: u32) -> Result<()> {
-        let build = self.lock().builds.get(&id).cloned();
-        match build {
-            Some(build) if !self.lock().processes.contains_key(&id) => {
-                self.start(&build, false).await.map(|_| ())
+        let config = self.lock().configs.get(&id).cloned();
+        match config {
+            Some(config) if !self.lock().processes.contains_key(&id) => {
+                self.start(&config, false).await.map(|_| ())
             }
             _ => Ok(()),
         }
     }
 
-    /// The process ends: connections are reset, its streams are over. The roster hears of it, late.
+    /// Ends a node's process: its connections are reset and its streams end. The roster tells of it after its lag.
     pub fn kill(&self, id: u32, why: &str) {
         let mut s = self.lock();
         let Some(process) = s.processes.remove(&id) else { return };
@@ -184,18 +193,19 @@
         }
         let over: Vec<String> =
             s.fleet.streams.iter().filter(|(_, x)| x.node == id).map(|(k, _)| k.clone()).collect();
-        over.iter().for_each(|rtsp| self.over(&mut s, rtsp));
+        over.iter().for_each(|rtsp| self.end_stream(&mut s, rtsp));
         drop(s);
         self.roster.gone(id);
     }
 
-    /// It answers nothing any more, its connections stay.
+    /// The node stops answering; its connections stay open.
     pub fn silence(&self, id: u32) {
         if let Some(n) = self.lock().fleet.nodes.get_mut(&id) {
             n.silent = true;
         }
     }
 
+    /// Starts or ends the drain of a node.
     pub fn drain(&self, id: u32, on: bool) {
         if let Some(n) = self.lock().fleet.nodes.get_mut(&id) {
             n.draining = on;
@@ -203,7 +213,8 @@
         self.roster.phase(id, if on { Phase::Draining } else { Phase::Ready });
     }
 
-    fn over(&self, s: &mut State, rtsp: &str) {
+    /// Removes a stream and records what it got.
+    fn end_stream(&self, s: &mut State, rtsp: &str) {
         if let Some(x) = s.fleet.remove(rtsp)
             && x.playing
         {
@@ -212,41 +223,42 @@
         }
     }
 
-    /// Lets the fluid flow and notices go out, until the task is dropped.
+    /// Advances the links and sends notifications, until the task is dropped.
     pub async fn run(self) {
         let mut every = tokio::time::interval(Duration::from_millis(50));
-        let mut told = now();
-        let mut short = now();
+        let mut load_sent_at = now();
+        let mut shares_sent_at = now();
         loop {
             every.tick().await;
             let t = now();
             let mut s = self.lock();
             s.fleet.tick(t);
-            if t - short >= 1.0 {
-                short = t;
-                self.tell_short(&mut s, t);
+            if t - shares_sent_at >= 1.0 {
+                shares_sent_at = t;
+                self.schedule_share_notifications(&mut s, t);
             }
-            if s.notification_delays.told_every > 0.0 && t - told >= s.notification_delays.told_every {
-                told = t;
-                self.tell_load(&mut s, t);
+            if s.notification_delays.told_every > 0.0 && t - load_sent_at >= s.notification_delays.told_every
+            {
+                load_sent_at = t;
+                self.schedule_load_notifications(&mut s, t);
             }
-            let later = s.due.split_off(&((t * 1e6) as u64, u64::MAX));
-            let due = std::mem::replace(&mut s.due, later);
-            for (node, conn, rtsp, with) in due.into_values() {
-                self.notice(&mut s, node, conn, &rtsp, with);
+            let later = s.pending.split_off(&((t * 1e6) as u64, u64::MAX));
+            let pending = std::mem::replace(&mut s.pending, later);
+            for (node, conn, rtsp, fields) in pending.into_values() {
+                self.notify(&mut s, node, conn, &rtsp, fields);
             }
         }
     }
 
-    fn later(s: &mut State, t: f64, node: u32, conn: u64, rtsp: &str, with: Fields) {
+    fn schedule(s: &mut State, t: f64, node: u32, conn: u64, rtsp: &str, fields: Fields) {
         let at = t + s.notification_delays.seen_after + s.notification_delays.extra;
-        s.next += 1;
-        let order = s.next;
-        s.due.insert(((at * 1e6) as u64, order), (node, conn, rtsp.to_owned(), with));
+        s.next_id += 1;
+        let order = s.next_id;
+        s.pending.insert(((at * 1e6) as u64, order), (node, conn, rtsp.to_owned(), fields));
     }
 
-    /// One stream of each connection that has any at the node.
-    fn one_each(s: &State, node: u32) -> Vec<(u64, String)> {
+    /// One playing stream of each connection that has any at the node. A connection's notification of a node names it.
+    fn one_stream_per_connection(s: &State, node: u32) -> Vec<(u64, String)> {
         let mut one = BTreeMap::new();
         for (rtsp, x) in s.fleet.streams.iter().filter(|(_, x)| x.node == node && x.playing) {
             one.entry(x.conn).or_insert_with(|| rtsp.clone());
@@ -254,38 +266,38 @@
         one.into_iter().collect()
     }
 
-    fn tell_short(&self, s: &mut State, t: f64) {
+    fn schedule_share_notifications(&self, s: &mut State, t: f64) {
         let shares: Vec<(u32, f64)> = s.fleet.nodes.iter().map(|(id, n)| (*id, n.share)).collect();
         for (id, share) in shares {
-            for (conn, rtsp) in Self::one_each(s, id) {
+            for (conn, rtsp) in Self::one_stream_per_connection(s, id) {
                 let c = s.processes.get_mut(&id).and_then(|p| p.conns.get_mut(&conn));
-                let was = c.map(|c| std::mem::replace(&mut c.short, share < 0.98)).unwrap_or(false);
+                let was = c.map(|c| std::mem::replace(&mut c.was_short, share < 0.98)).unwrap_or(false);
                 if share < 0.98 || was {
-                    let with = vec![
+                    let fields = vec![
                         (header_names::NOTIFY_REASON, notify_reasons::DELIVERY_SHARE.to_owned()),
                         (header_names::DELIVERED, format!("{share:.3}")),
                     ];
-                    Self::later(s, t, id, conn, &rtsp, with);
+                    Self::schedule(s, t, id, conn, &rtsp, fields);
                 }
             }
         }
     }
 
-    fn tell_load(&self, s: &mut State, t: f64) {
+    fn schedule_load_notifications(&self, s: &mut State, t: f64) {
         let ids: Vec<u32> = s.fleet.nodes.keys().copied().collect();
         for id in ids {
             let asked = s.fleet.link_demand(id).to_string();
-            for (conn, rtsp) in Self::one_each(s, id) {
-                let with = vec![
+            for (conn, rtsp) in Self::one_stream_per_connection(s, id) {
+                let fields = vec![
                     (header_names::NOTIFY_REASON, notify_reasons::LINK_LOAD.to_owned()),
                     (header_names::ASKED, asked.clone()),
                 ];
-                Self::later(s, t, id, conn, &rtsp, with);
+                Self::schedule(s, t, id, conn, &rtsp, fields);
             }
         }
     }
 
-    fn notice(&self, s: &mut State, node: u32, conn: u64, rtsp: &str, with: Fields) {
+    fn notify(&self, s: &mut State, node: u32, conn: u64, rtsp: &str, fields: Fields) {
         if s.fleet.nodes.get(&node).is_none_or(|n| n.silent) {
             return;
         }
@@ -293,7 +305,7 @@
         c.cseq += 1;
         let mut request = Request::new(Method::PlayNotify, format!("rtsp://node-{node}/"), c.cseq)
             .with(header_names::SESSION, rtsp);
-        for (name, value) in with {
+        for (name, value) in fields {
             request.headers.append(name, value);
         }
         self.send(s, node, conn, &request.into());
@@ -321,8 +333,8 @@
             let stream = Arc::new(stream);
             let (out, mut from) = mpsc::unbounded_channel::<Vec<u8>>();
             let mut s = self.lock();
-            s.next += 1;
-            let conn = s.next;
+            s.next_id += 1;
+            let conn = s.next_id;
             let me = self.clone();
             let shared = stream.clone();
             let task = tasks.spawn(async move {
@@ -343,17 +355,17 @@
                     }
                 };
                 tokio::select! { () = reader => {}, () = writer => {} }
-                me.closed(node, conn);
+                me.connection_closed(node, conn);
             });
             if let Some(p) = s.processes.get_mut(&node) {
-                p.conns.insert(conn, Conn { stream, out, task, cseq: 0, short: false });
+                p.conns.insert(conn, Connection { stream, out, task, cseq: 0, was_short: false });
             }
             self.recorder.record(Event::NodeConn { node, conn, open: true });
         }
     }
 
-    /// The director is gone: its streams are over.
-    fn closed(&self, node: u32, conn: u64) {
+    /// Ends the streams of a connection that its director closed.
+    fn connection_closed(&self, node: u32, conn: u64) {
         let mut s = self.lock();
         if s.processes.get_mut(&node).and_then(|p| p.conns.remove(&conn)).is_none() {
             return;
@@ -361,7 +373,7 @@
         self.recorder.record(Event::NodeConn { node, conn, open: false });
         let over: Vec<String> =
             s.fleet.streams.iter().filter(|(_, x)| x.conn == conn).map(|(k, _)| k.clone()).collect();
-        over.iter().for_each(|rtsp| self.over(&mut s, rtsp));
+        over.iter().for_each(|rtsp| self.end_stream(&mut s, rtsp));
     }
 
     async fn read(&self, node: u32, conn: u64, stream: &TcpStream) {
@@ -404,11 +416,11 @@
         }
         let load = n.reported.to_string();
         let answer = |status: u16| Response::new(status, r.cseq).with(header_names::LOAD_REPORT, &load);
-        let by_pipe = |s: &State| {
+        let by_pipeline = |s: &State| {
             let pipe = r.headers.get(header_names::PIPELINED)?;
             s.fleet.stream_by_pipeline(conn, pipe).cloned()
         };
-        let named = |s: &State| {
+        let by_session = |s: &State| {
             let id = r.headers.get(header_names::SESSION)?;
             s.fleet.streams.contains_key(id).then(|| id.to_owned())
         };
@@ -416,7 +428,7 @@
             Method::Setup => match s.fleet.setup(t, node) {
                 SetupDecision::Overloaded => {
                     drop(s);
-                    self.fell.send_modify(|n| *n += 1);
+                    self.cold_overloads.send_modify(|n| *n += 1);
                     self.kill(node, "pushed over while cold");
                 }
                 SetupDecision::Full => {
@@ -424,8 +436,8 @@
                     self.send(&mut s, node, conn, &full.into());
                 }
                 SetupDecision::Accepted(wait) => {
-                    s.next += 1;
-                    let rtsp = format!("{node}-{}", s.next);
+                    s.next_id += 1;
+                    let rtsp = format!("{node}-{}", s.next_id);
                     let get = |name| r.headers.get(name).unwrap_or("").to_owned();
                     let stream = Stream {
                         node,
@@ -449,8 +461,8 @@
                         let mut s = me.lock();
                         let load =
                             s.fleet.nodes.get(&node).map(|n| n.reported.to_string()).unwrap_or_default();
-                        let there = s.fleet.streams.contains_key(&rtsp);
-                        let answer = Response::new(if there { 200 } else { 454 }, cseq);
+                        let exists = s.fleet.streams.contains_key(&rtsp);
+                        let answer = Response::new(if exists { 200 } else { 454 }, cseq);
                         let answer =
                             answer.with(header_names::SESSION, &rtsp).with(header_names::LOAD_REPORT, load);
                         me.send(&mut s, node, conn, &answer.into());
@@ -458,7 +470,7 @@
                 }
             },
             Method::Play => {
-                let id = by_pipe(&s).or_else(|| named(&s));
+                let id = by_pipeline(&s).or_else(|| by_session(&s));
                 let Some(id) = id else {
                     return self.send(&mut s, node, conn, &answer(454).into());
                 };
@@ -469,15 +481,15 @@
                     tokio::time::sleep(Duration::from_secs_f64(wait + 0.001)).await;
                     let mut s = me.lock();
                     let asked = s.fleet.link_demand(node).to_string();
-                    let there = s.fleet.streams.get_mut(&id).map(|x| x.playing = true).is_some();
-                    let answer = Response::new(if there { 200 } else { 454 }, cseq);
+                    let exists = s.fleet.streams.get_mut(&id).map(|x| x.playing = true).is_some();
+                    let answer = Response::new(if exists { 200 } else { 454 }, cseq);
                     let answer = answer.with(header_names::SESSION, &id).with(header_names::ASKED, asked);
                     me.send(&mut s, node, conn, &answer.into());
                 });
             }
             Method::SetParameter => {
                 let rung = r.headers.parse_value(header_names::RUNG);
-                let status = match (named(&s), rung) {
+                let status = match (by_session(&s), rung) {
                     (Some(id), Some(rung)) => {
                         if let Some(x) = s.fleet.streams.get_mut(&id) {
                             x.rung = rung;
@@ -490,11 +502,11 @@
                 self.send(&mut s, node, conn, &answer(status).into());
             }
             Method::Teardown => {
-                // One node in four does not take a TEARDOWN by the name of a SETUP that is not answered yet.
-                let id = named(&s).or_else(|| by_pipe(&s).filter(|_| !node.is_multiple_of(4)));
+                // One node in four refuses a TEARDOWN that names the pipeline of a SETUP not answered yet.
+                let id = by_session(&s).or_else(|| by_pipeline(&s).filter(|_| !node.is_multiple_of(4)));
                 let status = if id.is_some() { 200 } else { 454 };
                 if let Some(id) = id {
-                    self.over(&mut s, &id);
+                    self.end_stream(&mut s, &id);
                 }
                 self.send(&mut s, node, conn, &answer(status).into());
             }
