--- a/crates/kelpdoor-lab/src/day.rs
+++ b/crates/kelpdoor-lab/src/day.rs
@@ -179,9 +179,9 @@
             }
             TroubleKind::DiscoveryStale => {
                 let normal_lag = self.script.size.roster_lag;
-                self.stand_ins.roster.lag(normal_lag + t.factor);
+                self.stand_ins.roster.set_lag(normal_lag + t.factor);
                 sleep_seconds(t.lasts).await;
-                self.stand_ins.roster.lag(normal_lag);
+                self.stand_ins.roster.set_lag(normal_lag);
             }
             TroubleKind::ReportLate => {
                 nodes.notification_delays(|x| x.extra += t.factor);
--- a/crates/kelpdoor-lab/src/node.rs
+++ b/crates/kelpdoor-lab/src/node.rs
@@ -154,7 +154,7 @@
             let task = tokio::spawn(self.clone().serve(config.id, listener)).abort_handle();
             s.processes.insert(config.id, Process { task, conns: BTreeMap::new() });
         }
-        self.roster.node(RosterNode {
+        self.roster.set_node(RosterNode {
             id: config.id,
             address,
             zone: config.zone.clone(),
@@ -195,7 +195,7 @@
             s.fleet.streams.iter().filter(|(_, x)| x.node == id).map(|(k, _)| k.clone()).collect();
         over.iter().for_each(|rtsp| self.end_stream(&mut s, rtsp));
         drop(s);
-        self.roster.gone(id);
+        self.roster.remove_node(id);
     }
 
     /// The node stops answering; its connections stay open.
@@ -210,7 +210,7 @@
         if let Some(n) = self.lock().fleet.nodes.get_mut(&id) {
             n.draining = on;
         }
-        self.roster.phase(id, if on { Phase::Draining } else { Phase::Ready });
+        self.roster.set_phase(id, if on { Phase::Draining } else { Phase::Ready });
     }
 
     /// Removes a stream and records what it got.
--- a/crates/kelpdoor-lab/src/player.rs
+++ b/crates/kelpdoor-lab/src/player.rs
@@ -1,5 +1,5 @@
-//! Scripted players: each wants one recording for a while, asks, retries, plays, and comes again when it is
-//! turned away or cut off, as long as the session would still run.
+//! Scripted players. Each one wants to watch a title for a given time: it sends its request, perhaps sends it again, plays,
+//! and starts over after a busy reply, a failure or a lost session until that time has passed.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -23,11 +23,12 @@
 /// A director's address, boot and zone.
 pub type DirectorAddress = (SocketAddr, u32, String);
 
-/// Where directors listen now; `None` while one is down.
+/// The addresses on which directors listen, by number; `None` while a director is down.
 #[derive(Clone, Default)]
 pub struct DirectorAddresses(Arc<Mutex<Vec<Option<DirectorAddress>>>>);
 
 impl DirectorAddresses {
+    /// Sets or clears a director's address.
     pub fn set(&self, director: usize, at: Option<DirectorAddress>) {
         let mut all = self.0.lock().unwrap_or_else(|e| e.into_inner());
         if all.len() <= director {
@@ -36,15 +37,15 @@
         all[director] = at;
     }
 
-    /// Another one than that, if any is up.
-    fn draw_other(&self, than: u32, rng: &mut Rng) -> Option<(u32, SocketAddr, u32)> {
+    /// Draws a director other than `excluded`, if any is up: number, address and boot.
+    fn draw_other(&self, excluded: u32, rng: &mut Rng) -> Option<(u32, SocketAddr, u32)> {
         let all = self.0.lock().unwrap_or_else(|e| e.into_inner());
         let up = all.iter().enumerate().filter_map(|(d, at)| at.as_ref().map(|(a, b, _)| (d as u32, *a, *b)));
-        let up: Vec<_> = up.filter(|u| u.0 != than).collect();
+        let up: Vec<_> = up.filter(|u| u.0 != excluded).collect();
         (!up.is_empty()).then(|| up[rng.usize(..up.len())])
     }
 
-    /// One of the zone if any is up, else any.
+    /// Draws a director of the zone, or any director if none of the zone is up: number, address and boot.
     fn draw(&self, zone: &str, rng: &mut Rng) -> Option<(u32, SocketAddr, u32)> {
         let all = self.0.lock().unwrap_or_else(|e| e.into_inner());
         let up: Vec<(u32, SocketAddr, u32, bool)> = all
@@ -58,7 +59,7 @@
     }
 }
 
-/// What one viewer wants.
+/// The session that one viewer wants. Times are in seconds.
 #[derive(Clone, Debug)]
 pub struct DesiredSession {
     pub player: u32,
@@ -66,27 +67,29 @@
     pub group: String,
     pub title: String,
     pub best_rung: u8,
-    /// How long it would be watched, s.
+    /// How long the viewer wants to watch.
     pub seconds: f64,
     pub setup_timeout: f64,
-    /// Sends its request again while the answer is out, on the same socket or on a second one.
+    /// Sends the request again before the answer has come.
     pub retries: bool,
+    /// Sends that second request on a new socket.
     pub second_socket: bool,
     pub token_plan: Option<TokenPlan>,
 }
 
-/// A viewer's entitlement, shown with each request.
+/// How a viewer uses its entitlement tokens.
 #[derive(Clone, Debug)]
 pub struct TokenPlan {
     pub school: String,
-    /// s; of each token.
+    /// Lifetime of each token, in seconds.
     pub lasts: f64,
+    /// Renews a token that is about to expire.
     pub renews: bool,
-    /// Where it retries, it goes to another director with the same token.
+    /// Sends its second request to another director, with the same token.
     pub elsewhere: bool,
 }
 
-/// A socket to a director, its messages recorded.
+/// A WebSocket to a director that records its messages.
 pub struct PlayerSocket {
     ws: WebSocketStream<TcpStream>,
     recorder: Recorder,
@@ -96,6 +99,10 @@
 }
 
 impl PlayerSocket {
+    /// Connects to a director, given by number, address and boot.
+    ///
+    /// # Errors
+    /// If the connection or the handshake fails.
     pub async fn open(
         recorder: &Recorder, player: u32, (director, address, boot): (u32, SocketAddr, u32),
     ) -> Result<Self, WsError> {
@@ -106,34 +113,38 @@
         let config = WebSocketConfig::default().read_buffer_size(1024).write_buffer_size(0);
         let (ws, _) = client_async_with_config(request, stream, Some(config)).await?;
         let socket = PlayerSocket { ws, recorder: recorder.clone(), player, director, boot };
-        socket.note(true);
+        socket.record_open(true);
         Ok(socket)
     }
 
-    fn note(&self, open: bool) {
+    fn record_open(&self, open: bool) {
         let (player, director, boot) = (self.player, self.director, self.boot);
         self.recorder.record(Event::PlayerSock { player, director, boot, open });
     }
 
-    fn keep(&self, got: bool, text: &str) {
+    fn record_message(&self, got: bool, text: &str) {
         if self.recorder.is_enabled() {
             let (player, director, boot) = (self.player, self.director, self.boot);
             self.recorder.record(Event::Player { player, director, boot, got, text: text.to_owned() });
         }
     }
 
+    /// Sends a message.
+    ///
+    /// # Errors
+    /// If the socket is closed.
     pub async fn send(&mut self, message: &FromPlayer) -> Result<(), WsError> {
         let text = message.text();
-        self.keep(false, &text);
+        self.record_message(false, &text);
         self.ws.send(Message::text(text)).await
     }
 
-    /// The next message; `None` when the socket is gone.
+    /// Receives the next valid message; `None` once the socket is closed.
     pub async fn receive(&mut self) -> Option<ToPlayer> {
         loop {
             match self.ws.next().await {
                 Some(Ok(Message::Text(text))) => {
-                    self.keep(true, text.as_str());
+                    self.record_message(true, text.as_str());
                     if let Ok(message) = ToPlayer::parse(text.as_str()) {
                         return Some(message);
                     }
@@ -147,11 +158,11 @@
 
 impl Drop for PlayerSocket {
     fn drop(&mut self) {
-        self.note(false);
+        self.record_open(false);
     }
 }
 
-/// Hears a request out that its viewer has left for another director.
+/// Reads on from a director that the viewer has left for another one, until its session has ended or failed.
 async fn wait_for_end(mut socket: PlayerSocket, answer_deadline: Instant) {
     let until = answer_deadline + Duration::from_secs(5);
     while let Ok(Some(m)) = timeout_at(until, socket.receive()).await {
@@ -161,15 +172,15 @@
     }
 }
 
-/// How a try ended.
+/// The outcome of an attempt.
 enum Attempt {
-    /// Watched to the end.
+    /// The viewer watched to the end.
     Finished,
-    /// Come again after so long.
+    /// The viewer tries again after so many seconds.
     RetryAfter(f64),
 }
 
-/// Plays one viewer's part to its end.
+/// Runs one viewer: attempts until it has watched, its time has passed, or 20 attempts are used up.
 pub async fn run_player(
     wanted: DesiredSession, directors: DirectorAddresses, recorder: Recorder,
     token_issuer: Option<Arc<TokenIssuer>>, seed: u64,
@@ -197,6 +208,7 @@
     }
 }
 
+/// Makes one attempt at a session.
 async fn attempt(
     wanted: &DesiredSession, directors: &DirectorAddresses, recorder: &Recorder, tries: u32, end: Instant,
     rng: &mut Rng, token: &impl Fn() -> Option<String>,
@@ -217,7 +229,7 @@
     if socket.send(&start).await.is_err() {
         return Attempt::RetryAfter(retry_delay);
     }
-    // Somewhat longer than the timeout, so that a late answer shows in the record.
+    // Longer than the timeout, so that the record shows a late answer.
     let answer_deadline = Instant::now() + Duration::from_secs_f64(wanted.setup_timeout + 0.3);
     let mut resend_at =
         wanted.retries.then(|| Instant::now() + Duration::from_secs_f64(0.005 + 0.1 * rng.f64()));
@@ -230,7 +242,7 @@
             Ok(Some(_)) => {}
             Err(_) if resend_at.is_some() && wanted.token_plan.as_ref().is_some_and(|t| t.elsewhere) => {
                 resend_at = None;
-                // The same token at another director, while the first answer is out.
+                // Shows the same token to another director before the first one has answered.
                 if let Some(other) = directors.draw_other(to.0, rng)
                     && let Ok(Ok(new)) =
                         timeout(Duration::from_secs(1), PlayerSocket::open(recorder, wanted.player, other))
@@ -249,7 +261,7 @@
             }
             Err(_) if resend_at.take().is_some() => {
                 if wanted.second_socket {
-                    // The first socket is let go: the answer comes on the new one.
+                    // The answer comes on the new socket; the first one is closed after it.
                     if let Ok(Ok(new)) =
                         timeout(Duration::from_secs(1), PlayerSocket::open(recorder, wanted.player, to)).await
                     {
@@ -274,7 +286,7 @@
     loop {
         tokio::select! {
             () = sleep_until(end) => break,
-            heard = socket.receive() => match heard {
+            received = socket.receive() => match received {
                 Some(ToPlayer::Ended { .. }) | None => return Attempt::RetryAfter(0.6 + 1.5 * rng.f64()),
                 Some(ToPlayer::Expiring { .. }) if wanted.token_plan.as_ref().is_some_and(|t| t.renews) => {
                     let Some(token) = token() else { continue };
--- a/crates/kelpdoor-lab/src/roster.rs
+++ b/crates/kelpdoor-lab/src/roster.rs
@@ -1,4 +1,4 @@
-//! A stand-in roster: a feed of JSON lines, served late on purpose.
+//! A stand-in roster: a feed of JSON lines that tells of each change after a configurable lag.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,12 +13,14 @@
 use crate::record::{Event, Recorder, now};
 
 struct State {
-    /// What became of nodes, and when; the first entries are those of the start.
+    /// Changes of nodes, with their times in seconds since the Unix epoch. A position in this log is a version.
     log: Vec<(f64, RosterNode)>,
     titles: Vec<RosterTitle>,
+    /// Seconds after which a change is told.
     lag: f64,
 }
 
+/// The roster service. Clones share its state.
 #[derive(Clone)]
 pub struct Roster {
     state: Arc<Mutex<State>>,
@@ -27,28 +29,32 @@
 }
 
 impl Roster {
+    /// Creates a roster without nodes.
     pub fn new(titles: Vec<RosterTitle>, lag: f64, recorder: Recorder) -> Self {
         let state = State { log: Vec::new(), titles, lag };
         Roster { state: Arc::new(Mutex::new(state)), changed: watch::channel(()).0, recorder }
     }
 
-    fn with<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
+    /// Changes the state and wakes up all connections.
+    fn update<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
         let done = act(&mut self.state.lock().unwrap_or_else(|e| e.into_inner()));
         self.changed.send_replace(());
         done
     }
 
-    pub fn node(&self, node: RosterNode) {
-        self.with(|s| s.log.push((now(), node)));
+    /// Adds a node or replaces its entry.
+    pub fn set_node(&self, node: RosterNode) {
+        self.update(|s| s.log.push((now(), node)));
     }
 
-    /// How late changes are told from now on, s.
-    pub fn lag(&self, lag: f64) {
-        self.with(|s| s.lag = lag);
+    /// Sets the lag of changes, in seconds.
+    pub fn set_lag(&self, lag: f64) {
+        self.update(|s| s.lag = lag);
     }
 
-    pub fn phase(&self, id: u32, phase: Phase) {
-        self.with(|s| {
+    /// Changes the phase of a node, if it is known.
+    pub fn set_phase(&self, id: u32, phase: Phase) {
+        self.update(|s| {
             let last = s.log.iter().rev().find(|(_, n)| n.id == id).map(|(_, n)| n.clone());
             if let Some(node) = last {
                 s.log.push((now(), RosterNode { phase, ..node }));
@@ -56,33 +62,40 @@
         });
     }
 
-    pub fn gone(&self, id: u32) {
-        self.phase(id, Phase::Gone);
+    /// Marks a node as gone.
+    pub fn remove_node(&self, id: u32) {
+        self.set_phase(id, Phase::Gone);
     }
 
+    /// Accepts connections until the task is dropped.
     pub async fn serve(self, listener: TcpListener) {
         loop {
             if let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(self.clone().feed(stream));
+                tokio::spawn(self.clone().serve_connection(stream));
             }
         }
     }
 
+    /// Binds a listener on loopback and returns it with its address.
+    ///
+    /// # Errors
+    /// If no port can be bound.
     pub async fn bind() -> Result<(TcpListener, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         Ok((listener, address))
     }
 
-    /// What is due by now of the log from `from` on, and when the next entry is.
-    fn due(&self, from: usize) -> (usize, Option<f64>) {
+    /// The position up to which the log may be told by now, starting at `from`, and the seconds until the next entry.
+    fn due_entries(&self, from: usize) -> (usize, Option<f64>) {
         let s = self.state.lock().unwrap_or_else(|e| e.into_inner());
         let t = now() - s.lag;
         let due = s.log[from..].iter().take_while(|(at, _)| *at <= t).count();
         (from + due, s.log.get(from + due).map(|(at, _)| at - t))
     }
 
-    fn whole(&self, upto: usize) -> FromRoster {
+    /// The full list of nodes and titles at a position of the log.
+    fn full_list(&self, upto: usize) -> FromRoster {
         let s = self.state.lock().unwrap_or_else(|e| e.into_inner());
         let mut nodes = std::collections::BTreeMap::new();
         for (_, n) in &s.log[..upto] {
@@ -99,9 +112,10 @@
         }
     }
 
-    fn change(&self, from: usize, to: usize) -> FromRoster {
+    /// The changes between two positions of the log.
+    fn changes(&self, from: usize, to: usize) -> FromRoster {
         let s = self.state.lock().unwrap_or_else(|e| e.into_inner());
-        // The last word on each node.
+        // Only the last entry of each node.
         let mut nodes = std::collections::BTreeMap::new();
         s.log[from..to].iter().for_each(|(_, n)| {
             nodes.insert(n.id, n.clone());
@@ -109,15 +123,16 @@
         FromRoster::Change { version: to as u64, nodes: nodes.into_values().collect(), titles: Vec::new() }
     }
 
-    async fn feed(self, stream: TcpStream) {
+    /// Sends the full list and then each change as it becomes due, until the connection closes.
+    async fn serve_connection(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
         let Ok(Some(first)) = lines.next_line().await else { return };
         let Ok(ToRoster::Hello { director }) = serde_json::from_str(&first) else { return };
         let mut changed = self.changed.subscribe();
-        let (mut at, _) = self.due(0);
-        let mut message = Some(self.whole(at));
+        let (mut at, _) = self.due_entries(0);
+        let mut message = Some(self.full_list(at));
         loop {
             if let Some(message) = message.take() {
                 let Ok(mut text) = serde_json::to_string(&message) else { return };
@@ -127,9 +142,9 @@
                     return;
                 }
             }
-            let (due, next) = self.due(at);
+            let (due, next) = self.due_entries(at);
             if due > at {
-                message = Some(self.change(at, due));
+                message = Some(self.changes(at, due));
                 at = due;
                 continue;
             }
@@ -139,7 +154,7 @@
                 () = tokio::time::sleep(wait) => {}
                 line = lines.next_line() => match line {
                     Ok(Some(text)) => match serde_json::from_str(&text) {
-                        Ok(ToRoster::Whole) => message = Some(self.whole(at)),
+                        Ok(ToRoster::Whole) => message = Some(self.full_list(at)),
                         Ok(_) => {}
                         Err(_) => return,
                     },
