--- a/crates/kelpdoor-lab/src/day.rs
+++ b/crates/kelpdoor-lab/src/day.rs
@@ -218,14 +218,14 @@
                 if let Some(keeper) = self.processes.lock().await.keeper.as_mut() {
                     keeper.kill().await;
                 }
-                self.processes.lock().await.note_keeper("killed");
+                self.processes.lock().await.record_keeper_event("killed");
                 sleep_seconds(t.notice).await;
                 let mut processes = self.processes.lock().await;
                 if let Some(keeper) = processes.keeper.as_mut() {
                     if let Err(e) = keeper.restart().await {
                         tracing::error!(%e, "failed to restart the keeper");
                     }
-                    processes.note_keeper("started");
+                    processes.record_keeper_event("started");
                 }
             }
             TroubleKind::KeeperStall => {
@@ -356,7 +356,7 @@
     async fn stall_keeper(&self, on: bool) {
         let processes = self.processes.lock().await;
         if let Some(keeper) = &processes.keeper {
-            processes.note_keeper(if on { "stalled" } else { "resumed" });
+            processes.record_keeper_event(if on { "stalled" } else { "resumed" });
             keeper.stall(on);
         }
     }
--- a/crates/kelpdoor-lab/src/fleet.rs
+++ b/crates/kelpdoor-lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Puts stand-ins and directors together: nodes, roster, directors as processes of their own.
+//! Sets up a fleet: stand-in nodes and a roster in this process, and directors, keeper and voters as processes.
 
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -21,11 +21,11 @@
 use crate::trouble::DaySettings;
 use crate::voting::Agreeing;
 
-/// kB a second for each unit of a node's size.
+/// Rate of a node's link for each unit of its size, kB/s.
 const LINK_UNIT: f64 = 2600.0;
 
-/// Settings that hardly any deployment has, to try the rules under: few seats, a high floor, every kind of repeat, a
-/// small budget, a low cold start that tips soon.
+/// Unusual settings that put the rules under stress: few seats, a high floor, every kind of repeat, a small budget, and
+/// cold nodes that start low and fail soon.
 pub const ODD_SETTINGS: &str = r#"
 ladder(rates = [90, 300, 500], utility = [0.3, 0.7, 1.0])
 group("lecture", utility = 2, start_target = 0.5, scale = 1.4, top = 2, seats = 3, repeat = "cell", repeat_window = 1)
@@ -37,6 +37,7 @@
 node_links(connect_timeout = 0.2, quiet = 1, dead_after = 3)
 "#;
 
+/// The settings of a day that asks for no other ones.
 const DEFAULT_SETTINGS: &str = r#"
 ladder(rates = [120, 221, 405, 744, 1365], utility = [0.2, 0.42, 0.62, 0.82, 1.0], switch_cost = 0.8)
 group("lecture", utility = 2, start_target = 1.5, scale = 1.4, top = 4, seats = 20)
@@ -47,26 +48,26 @@
 players(resume_for = 5, remember = 20)
 "#;
 
-/// The settings that all directors of a lab share, but for their own lines; `other` replaces the usual ones.
-pub fn settings(size: &DaySettings, other: &str) -> String {
-    let ticket = if other.is_empty() {
+/// The settings that all directors of a lab share. `custom` replaces the default settings unless it is empty.
+pub fn settings(size: &DaySettings, custom: &str) -> String {
+    let ticket = if custom.is_empty() {
         "utility = 1, start_target = 1.5, top = 3"
     } else {
         "utility = 1, start_target = 0.4, top = 1, repeat = \"never\""
     };
     let tickets = schools::settings(size, ticket);
-    let (other, cold) = if other.is_empty() {
+    let (custom, cold) = if custom.is_empty() {
         (
             DEFAULT_SETTINGS,
             "cold_from = 0.4, warm_within = 8, tip_multiple = 4, fall_window = 2, drain_grace = 1",
         )
     } else {
-        (other, "cold_from = 0.1, warm_within = 10, tip_multiple = 2, fall_window = 1, drain_grace = 0.3")
+        (custom, "cold_from = 0.1, warm_within = 10, tip_multiple = 2, fall_window = 1, drain_grace = 0.3")
     };
     let cells = size.nodes;
     let zones = size.zones.iter().map(|z| format!("{z:?}")).collect::<Vec<_>>().join(", ");
     format!(
-        r#"{other}{tickets}fleet(zones = [{zones}], kinds = {{"box-2c": 26, "box-3c": 39}}, cells = {cells}, racks = {racks},
+        r#"{custom}{tickets}fleet(zones = [{zones}], kinds = {{"box-2c": 26, "box-3c": 39}}, cells = {cells}, racks = {racks},
       link_unit = {LINK_UNIT}, rack_uplink = {uplink}, seen_after = 0.6, told_every = 2.0, {cold},
       cross_zone_price = 0.02)
 "#,
@@ -75,7 +76,7 @@
     )
 }
 
-/// A whole script for one director.
+/// The complete settings of one director, with the number `me`.
 pub fn director_script(
     shared: &str, size: &DaySettings, me: u32, roster: SocketAddr, cache: &Path,
 ) -> String {
@@ -88,7 +89,7 @@
     )
 }
 
-/// Titles and where they lie.
+/// The titles of a day and the cells that hold them.
 pub fn titles(size: &DaySettings) -> Vec<RosterTitle> {
     let cells = size.nodes as u16;
     let span = 5.min(cells);
@@ -97,7 +98,7 @@
         .collect()
 }
 
-/// The nodes, as they would be with that seed.
+/// The nodes of a day, with links drawn from `rng`.
 pub fn node_configs(size: &DaySettings, rng: &mut Rng) -> Vec<NodeConfig> {
     let kinds = [("box-2c", 2.0, 26.0), ("box-3c", 3.0, 39.0)];
     (0..size.nodes)
@@ -117,7 +118,7 @@
         .collect()
 }
 
-/// Nodes and roster at work.
+/// The stand-in nodes and roster of a day, running.
 pub struct StandIns {
     pub nodes: Nodes,
     pub roster: Roster,
@@ -126,18 +127,25 @@
 }
 
 impl StandIns {
+    /// Starts nodes and roster, and records the settings.
+    ///
+    /// # Errors
+    /// If the settings are invalid or a port cannot be bound.
     pub async fn start(size: &DaySettings, shared: &str, recorder: Recorder) -> Result<StandIns> {
         StandIns::with_titles(size, shared, recorder, titles(size)).await
     }
 
-    /// With other titles than the usual forty.
+    /// As [`StandIns::start`], with other titles than the default forty.
+    ///
+    /// # Errors
+    /// If the settings are invalid or a port cannot be bound.
     pub async fn with_titles(
         size: &DaySettings, shared: &str, recorder: Recorder, titles: Vec<RosterTitle>,
     ) -> Result<StandIns> {
         let mut rng = Rng::with_seed(size.seed);
         let (listener, roster_address) = Roster::bind().await?;
         let roster = Roster::new(titles, size.roster_lag, recorder.clone());
-        // The settings as the checker reads them; the director's own lines do not matter there.
+        // The checker reads only shared settings, so any director's script serves.
         let any = director_script(shared, size, 0, roster_address, Path::new("list"));
         let deployment = Deployment::parse("settings", &any)
             .map_err(|f| anyhow::anyhow!(f.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")))?;
@@ -166,12 +174,12 @@
     }
 }
 
-/// Directors of a day: started, killed, stalled and started again.
+/// The processes of a day: directors, keeper and voters. A director can be started, killed, stalled and restarted.
 pub struct Processes {
-    /// What is run as the daemon, by `director` and the daemon's own arguments.
+    /// The executable that runs as the daemon when its first argument is `director`.
     pub program: PathBuf,
     pub directors: DirectorAddresses,
-    children: Vec<Option<Daemon>>,
+    daemons: Vec<Option<Daemon>>,
     boots: Vec<u32>,
     stalled: Vec<bool>,
     size: DaySettings,
@@ -180,14 +188,15 @@
     dir: PathBuf,
     recorder: Recorder,
     journal: bool,
-    /// Where the day has schools.
+    /// Present if the day has schools.
     pub keeper: Option<KeeperProcess>,
     pub token_issuer: Option<std::sync::Arc<TokenIssuer>>,
-    /// Where the day has voters.
+    /// Present if the day has voters.
     pub agreeing: Option<Agreeing>,
 }
 
 impl Processes {
+    /// Creates the set of processes without starting any. Settings, logs and journals go to `dir`.
     pub fn new(
         size: &DaySettings, shared: &str, program: PathBuf, roster_address: SocketAddr, recorder: Recorder,
         dir: &Path, journal: bool,
@@ -196,7 +205,7 @@
         Processes {
             program,
             directors: DirectorAddresses::default(),
-            children: (0..n).map(|_| None).collect(),
+            daemons: (0..n).map(|_| None).collect(),
             boots: vec![0; n],
             stalled: vec![false; n],
             size: size.clone(),
@@ -211,12 +220,15 @@
         }
     }
 
-    fn note(&self, d: usize, event: &str) {
+    fn record_event(&self, d: usize, event: &str) {
         let (director, boot) = (d as u32, self.boots[d]);
         self.recorder.record(Event::Director { director, boot, event: event.to_owned() });
     }
 
-    /// Starts the keeper and the issuing of tokens, where the day has schools; before any director.
+    /// Starts the keeper and creates the token issuer, if the day has schools. Call it before starting any director.
+    ///
+    /// # Errors
+    /// If the keeper cannot be started or the key set cannot be written.
     pub async fn start_keeper(&mut self) -> Result<()> {
         if self.size.schools > 0 {
             self.token_issuer = Some(TokenIssuer::new(&self.dir)?);
@@ -226,42 +238,53 @@
         Ok(())
     }
 
-    /// Starts the voters, where the day has any, and has them agree on a first document; before any director.
+    /// Starts the voters, if the day has any, and has them agree on a first document. Call it before starting any
+    /// director.
+    ///
+    /// # Errors
+    /// If a voter cannot be started or the document is not agreed on.
     pub async fn start_voters(&mut self) -> Result<()> {
         if self.size.voters == 0 {
             return Ok(());
         }
-        let shared = self.with_keeper(self.shared.clone());
+        let shared = self.fill_placeholders(self.shared.clone());
         let recorder = self.recorder.clone();
         let agreeing = Agreeing::start(&self.program, &self.dir, &self.size, &shared, recorder).await?;
         let said = agreeing.proposer.lock().await.propose(0, 0).await?;
         if !said.starts_with("agreed 1/") {
-            bail!("the first document: {said}");
+            bail!("the first document was not agreed on: {said}");
         }
         self.agreeing = Some(agreeing);
         Ok(())
     }
 
-    /// Keys and keeper put in, where the day has schools.
-    fn with_keeper(&self, script: String) -> String {
+    /// Puts key set and keeper into a script, if the day has schools.
+    fn fill_placeholders(&self, script: String) -> String {
         let (Some(keeper), Some(token_issuer)) = (&self.keeper, &self.token_issuer) else { return script };
         script
             .replace(schools::KEYS_PLACEHOLDER, &token_issuer.key_set_path().display().to_string())
             .replace(schools::KEEPER_PLACEHOLDER, &keeper.address)
     }
 
-    pub fn note_keeper(&self, event: &str) {
+    /// Records an event of the keeper's process.
+    pub fn record_keeper_event(&self, event: &str) {
         self.recorder.record(Event::Keeper { event: event.to_owned() });
     }
 
+    /// Path of a director's settings.
     pub fn script_path(&self, d: usize) -> PathBuf {
         self.dir.join(format!("director-{d}.star"))
     }
 
+    /// Path of a director's journal.
     pub fn journal_path(&self, d: usize) -> PathBuf {
         self.dir.join(format!("director-{d}.journal"))
     }
 
+    /// Starts a director and returns the address on which it listens.
+    ///
+    /// # Errors
+    /// If it cannot be started or ends at once.
     pub async fn start(&mut self, d: usize) -> Result<SocketAddr> {
         let cache = self.dir.join(format!("director-{d}.list"));
         let script = match &self.agreeing {
@@ -270,55 +293,58 @@
             }
             None => director_script(&self.shared, &self.size, d as u32, self.roster_address, &cache),
         };
-        let script = self.with_keeper(script);
+        let script = self.fill_placeholders(script);
         let path = self.script_path(d);
         std::fs::File::create(&path)?.write_all(script.as_bytes())?;
         self.boots[d] += 1;
-        let shown = |path: PathBuf| path.display().to_string();
-        let mut arguments = vec!["serve".to_owned(), "--config".to_owned(), shown(path)];
+        let display = |path: PathBuf| path.display().to_string();
+        let mut arguments = vec!["serve".to_owned(), "--config".to_owned(), display(path)];
         if self.journal {
-            arguments.extend(["--journal".to_owned(), shown(self.journal_path(d))]);
+            arguments.extend(["--journal".to_owned(), display(self.journal_path(d))]);
         }
         let log = self.dir.join(format!("director-{d}.log"));
         let daemon =
             Daemon::start(&self.program, &arguments, &log).await.with_context(|| format!("director {d}"))?;
         let address = daemon.address.parse().with_context(|| daemon.address.clone())?;
-        self.note(d, "started");
+        self.record_event(d, "started");
         let zone = self.size.zones[d % self.size.zones.len()].clone();
         self.directors.set(d, Some((address, self.boots[d], zone)));
-        self.children[d] = Some(daemon);
+        self.daemons[d] = Some(daemon);
         Ok(address)
     }
 
+    /// Sends a signal to a director, if it runs.
     pub fn signal(&self, d: usize, signal: Signal) {
-        if let Some(pid) = self.children[d].as_ref().and_then(|c| c.child.id()) {
+        if let Some(pid) = self.daemons[d].as_ref().and_then(|c| c.child.id()) {
             let _ = kill(Pid::from_raw(pid as i32), signal);
         }
     }
 
+    /// Kills a director.
     pub async fn kill(&mut self, d: usize) {
         self.directors.set(d, None);
-        self.note(d, "killed");
+        self.record_event(d, "killed");
         self.stalled[d] = false;
-        if let Some(mut process) = self.children[d].take() {
+        if let Some(mut process) = self.daemons[d].take() {
             let _ = process.child.kill().await;
         }
     }
 
+    /// Stops (`on`) or continues a director's process. Does nothing if it is in that state already.
     pub fn stall(&mut self, d: usize, on: bool) {
-        if self.children[d].is_none() || std::mem::replace(&mut self.stalled[d], on) == on {
+        if self.daemons[d].is_none() || std::mem::replace(&mut self.stalled[d], on) == on {
             return;
         }
-        self.note(d, if on { "stalled" } else { "resumed" });
+        self.record_event(d, if on { "stalled" } else { "resumed" });
         self.signal(d, if on { Signal::SIGSTOP } else { Signal::SIGCONT });
     }
 
-    /// Asks a director to end, and waits for it. Whether it ended well.
+    /// Asks a director to end and waits up to 10 s for it. Returns whether it exited with success.
     pub async fn end(&mut self, d: usize) -> Result<bool> {
         self.directors.set(d, None);
-        self.note(d, "ending");
+        self.record_event(d, "ending");
         self.signal(d, Signal::SIGTERM);
-        match self.children[d].take() {
+        match self.daemons[d].take() {
             None => Ok(true),
             Some(mut process) => {
                 let wait = tokio::time::timeout(std::time::Duration::from_secs(10), process.child.wait());
--- a/crates/kelpdoor-lab/src/trouble.rs
+++ b/crates/kelpdoor-lab/src/trouble.rs
@@ -1,41 +1,45 @@
-//! Trouble scripts: what happens to whom and when, in the settings language.
+//! Trouble scripts: what goes wrong where and when on a day, in the settings language.
 
 use std::path::Path;
 
 use kelpdoor_script::{Call, SettingsError, TROUBLE_BUILTINS};
 use serde::{Deserialize, Serialize};
 
-/// The day itself: how much of everything.
+/// Arguments of the builtin `day`: the size and load of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DaySettings {
+    /// Length of the day.
     pub seconds: f64,
     pub directors: u32,
     pub nodes: u32,
     pub racks: u16,
     pub zones: Vec<String>,
-    /// Players that come one by one over the day.
+    /// Players that arrive at random times over the day.
     pub players: u32,
-    /// A class that presses play within a second.
+    /// Further players that ask for the same title within one second.
     pub class_of: u32,
+    /// When these players arrive, in seconds from the start.
     pub class_at: f64,
-    /// Rough length of a session, s.
+    /// Mean length of a session before the scale of its group, s.
     pub watch: f64,
-    /// How late the roster tells, s.
+    /// Delay with which the roster tells of changes, s.
     pub roster_lag: f64,
     pub seed: u64,
-    /// Schools with so many seats each, viewers with tokens of theirs, and how long a token lasts, s.
     pub schools: u32,
+    /// Seats of each school.
     pub seats: u32,
+    /// Viewers with tokens of a school.
     pub tickets: u32,
+    /// Mean lifetime of a token, s.
     pub token_lasts: f64,
-    /// Voters; with any, the directors' rules are agreed.
+    /// Number of voters on the first list; if there are any, directors go by agreed rules.
     pub voters: u32,
-    /// Voters that are not on the first list and may be put on a later one.
+    /// Voters that are not on the first list but may be on a later one.
     pub spare_voters: u32,
-    /// s; what the documents state.
+    /// The value of `contradiction` in the documents, s.
     pub contradiction: f64,
-    /// Steady clocks run up to 1 in 100 apart.
+    /// Lets the steady clocks of the processes run at rates that differ by up to 1 %.
     pub clocks_apart: bool,
 }
 
@@ -65,6 +69,7 @@
     }
 }
 
+/// What goes wrong. The builtins of scripts are the names of the variants in snake case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TroubleKind {
@@ -83,30 +88,38 @@
     HotKey,
     Preempt,
     Drain,
-    /// The keeper of seats is killed and started again; or stands still.
+    /// The keeper is killed and restarted.
     KeeperRoll,
+    /// The keeper's process is stopped for a while.
     KeeperStall,
-    /// Tokens are signed by a new key, and the old ones are taken out after a while.
+    /// Tokens are signed with a new key; the old keys are removed from the key set after a while.
     NewKey,
-    /// Nothing passes between some processes; all of it comes late; it trickles; connections are reset.
+    /// Nothing passes between some processes.
     Cut,
+    /// All that passes between some processes is delayed.
     Late,
+    /// The rate between some processes is limited.
     Trickle,
+    /// Connections between some processes are reset.
     LineReset,
-    /// Voters are killed and started again; stand still; lose their disk; cannot write to it.
+    /// Voters are killed and restarted, one by one.
     VoterRoll,
+    /// The processes of voters are stopped for a while.
     VoterStall,
+    /// Voters are killed and restarted with an empty disk, one by one.
     VoterDisk,
+    /// Voters cannot write to their disk for a while, one by one.
     VoterFull,
     /// A changed document is proposed.
     Propose,
-    /// The wall clocks of directors are stepped, and set right again.
+    /// The wall clocks of directors are stepped and set right again.
     WallStep,
-    /// Voters are started and a list of them proposed; who is off it then ends.
+    /// Voters are started and a new list of voters is proposed; voters that are not on it are ended.
     VoterList,
 }
 
-const KINDS: [(&str, TroubleKind); 29] = [
+/// Names of the kinds in scripts.
+const BUILTINS: [(&str, TroubleKind); 29] = [
     ("crash", TroubleKind::Crash),
     ("vanish", TroubleKind::Vanish),
     ("slow", TroubleKind::Slow),
@@ -138,14 +151,14 @@
     ("wall_step", TroubleKind::WallStep),
 ];
 
-/// One trouble. Which fields count depends on its kind; `docs/bad-day.md` has the table.
+/// Arguments of a trouble. Its kind determines which fields count; `docs/bad-day.md` has the table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
-    /// s from the start of the day.
+    /// Seconds from the start of the day.
     pub at: f64,
-    /// s; until what died comes back, or what changed is as before.
-    #[serde(default = "lasts")]
+    /// Seconds until what failed is restarted or what changed is restored.
+    #[serde(default = "default_lasts")]
     pub lasts: f64,
     #[serde(default)]
     pub nodes: Vec<u32>,
@@ -153,44 +166,47 @@
     pub directors: Vec<u32>,
     #[serde(default)]
     pub voters: Vec<u32>,
-    /// Of a cut: `both`, `there` (from directors, or from the voters named) or `back`.
-    #[serde(default = "both")]
+    /// Direction of a fault between processes: `there` (from the directors, or from the voters if no director is named),
+    /// `back` or `both`. For `wall_step`, `back` steps the clock back.
+    #[serde(default = "default_way")]
     pub way: String,
-    /// Numbers the document that is proposed.
+    /// Number of the document that is proposed.
     #[serde(default)]
     pub change: u32,
     #[serde(default)]
     pub racks: Vec<u16>,
     #[serde(default)]
     pub zone: String,
-    /// What is left of a link or uplink; for late news, seconds more.
-    #[serde(default = "half")]
+    /// Remaining share of a link or uplink; for delays and clock steps, seconds; for `trickle`, bytes a
+    /// second.
+    #[serde(default = "default_factor")]
     pub factor: f64,
     #[serde(default)]
     pub title: String,
     #[serde(default)]
     pub players: u32,
-    /// s between a drain's notice and the end.
-    #[serde(default = "notice")]
+    /// Seconds between the notice and the end of a process, or between a kill and the restart.
+    #[serde(default = "default_notice")]
     pub notice: f64,
 }
 
-fn both() -> String {
+fn default_way() -> String {
     "both".into()
 }
 
-fn lasts() -> f64 {
+fn default_lasts() -> f64 {
     8.0
 }
 
-fn half() -> f64 {
+fn default_factor() -> f64 {
     0.5
 }
 
-fn notice() -> f64 {
+fn default_notice() -> f64 {
     2.0
 }
 
+/// A day and its troubles, ordered by time.
 #[derive(Clone, Debug, Default)]
 pub struct TroubleScript {
     pub size: DaySettings,
@@ -198,58 +214,71 @@
 }
 
 impl TroubleScript {
+    /// Builds a script from the calls of builtins in a file.
+    ///
     /// # Errors
-    /// Every fault found, each with its place.
+    /// All errors found, each with its position.
     pub fn from_calls(file: &str, calls: &[Call]) -> Result<Self, Vec<SettingsError>> {
-        let (mut script, mut faults) = (TroubleScript::default(), Vec::new());
+        let (mut script, mut errors) = (TroubleScript::default(), Vec::new());
         for call in calls.iter().filter(|c| c.builtin == "day") {
             match call.parse_args::<DaySettings>(file) {
                 Ok(size) => {
-                    let sane = size.seconds > 0.0 && size.seconds <= 3600.0;
-                    let fleet = (1..=200).contains(&size.nodes) && (1..=20).contains(&size.directors);
-                    let racks = size.racks >= 1 && u32::from(size.racks) <= size.nodes;
-                    let few = size.players <= 20_000 && size.class_of <= 2_000 && !size.zones.is_empty();
-                    let few =
-                        few && size.tickets <= 20_000 && size.schools <= 1000 && size.token_lasts >= 1.0;
-                    let voting = matches!(size.voters, 0 | 3 | 5)
+                    let valid_duration = size.seconds > 0.0 && size.seconds <= 3600.0;
+                    let valid_fleet = (1..=200).contains(&size.nodes) && (1..=20).contains(&size.directors);
+                    let valid_racks = size.racks >= 1 && u32::from(size.racks) <= size.nodes;
+                    let valid_load =
+                        size.players <= 20_000 && size.class_of <= 2_000 && !size.zones.is_empty();
+                    let valid_load = valid_load
+                        && size.tickets <= 20_000
+                        && size.schools <= 1000
+                        && size.token_lasts >= 1.0;
+                    let valid_voters = matches!(size.voters, 0 | 3 | 5)
                         && size.spare_voters <= 8
                         && (0.5..=10.0).contains(&size.contradiction);
-                    if !(voting
-                        && sane
-                        && fleet
-                        && racks
-                        && few
+                    if !(valid_voters
+                        && valid_duration
+                        && valid_fleet
+                        && valid_racks
+                        && valid_load
                         && size.watch >= 3.0
                         && size.roster_lag >= 0.0)
                     {
-                        faults.push(call.error(file, "day: a figure is out of range"));
+                        errors.push(call.error(file, "day: a value is out of range"));
                     }
                     script.size = size;
                 }
-                Err(fault) => faults.push(fault),
+                Err(error) => errors.push(error),
             }
         }
         let size = script.size.clone();
         for call in calls.iter().filter(|c| c.builtin != "day") {
-            let Some((_, kind)) = KINDS.iter().find(|(word, _)| *word == call.builtin) else { continue };
+            let Some((_, kind)) = BUILTINS.iter().find(|(word, _)| *word == call.builtin) else { continue };
             match call.parse_args::<Trouble>(file) {
                 Ok(t) => {
-                    if let Some(what) = wrong(*kind, &t, &size) {
-                        faults.push(call.error(file, format!("{}: {what}", call.builtin)));
+                    if let Some(what) = find_error(*kind, &t, &size) {
+                        errors.push(call.error(file, format!("{}: {what}", call.builtin)));
                     }
                     script.troubles.push((*kind, t));
                 }
-                Err(fault) => faults.push(fault),
+                Err(error) => errors.push(error),
             }
         }
         script.troubles.sort_by(|a, b| a.1.at.total_cmp(&b.1.at));
-        if faults.is_empty() { Ok(script) } else { Err(faults) }
+        if errors.is_empty() { Ok(script) } else { Err(errors) }
     }
 
+    /// Evaluates a script given as text; `file` names it in errors.
+    ///
+    /// # Errors
+    /// All errors found, each with its position.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<SettingsError>> {
         TroubleScript::from_calls(file, &kelpdoor_script::evaluate(file, text, TROUBLE_BUILTINS)?)
     }
 
+    /// Evaluates a script file.
+    ///
+    /// # Errors
+    /// All errors found, each with its position.
     pub fn read(path: &Path) -> Result<Self, Vec<SettingsError>> {
         TroubleScript::from_calls(
             &path.display().to_string(),
@@ -258,7 +287,8 @@
     }
 }
 
-fn wrong(kind: TroubleKind, t: &Trouble, size: &DaySettings) -> Option<String> {
+/// The first error in the arguments of a trouble.
+fn find_error(kind: TroubleKind, t: &Trouble, size: &DaySettings) -> Option<String> {
     let times = [t.at, t.lasts, t.factor, t.notice];
     if !times.iter().all(|v| v.is_finite() && *v >= 0.0) {
         return Some("times and factor have to be at least 0".into());
@@ -278,7 +308,7 @@
     if let Some(r) = t.racks.iter().find(|r| **r >= size.racks) {
         return Some(format!("no rack {r}, the day has {}", size.racks));
     }
-    let needs = |missing: bool, what: &str| missing.then(|| format!("{what} is needed"));
+    let required = |missing: bool, what: &str| missing.then(|| format!("{what} is needed"));
     match kind {
         TroubleKind::Crash
         | TroubleKind::Vanish
@@ -287,14 +317,14 @@
         | TroubleKind::Ageing
         | TroubleKind::Deploy
         | TroubleKind::Preempt
-        | TroubleKind::Drain => needs(t.nodes.is_empty(), "nodes"),
-        TroubleKind::RackSag => needs(t.racks.is_empty(), "racks"),
+        | TroubleKind::Drain => required(t.nodes.is_empty(), "nodes"),
+        TroubleKind::RackSag => required(t.racks.is_empty(), "racks"),
         TroubleKind::WallStep if size.voters == 0 => Some("it needs voters in the day".into()),
         TroubleKind::BalancerRoll | TroubleKind::BalancerStall | TroubleKind::WallStep => {
-            needs(t.directors.is_empty(), "directors")
+            required(t.directors.is_empty(), "directors")
         }
         TroubleKind::ZoneLoss if !size.zones.contains(&t.zone) => Some(format!("no zone {:?}", t.zone)),
-        TroubleKind::HotKey => needs(t.players == 0 || t.players > 5000, "players, 1 to 5000,"),
+        TroubleKind::HotKey => required(t.players == 0 || t.players > 5000, "players, 1 to 5000,"),
         TroubleKind::Cut
         | TroubleKind::Late
         | TroubleKind::Trickle
@@ -302,11 +332,11 @@
         | TroubleKind::VoterRoll
         | TroubleKind::VoterStall
         | TroubleKind::VoterDisk
-        | TroubleKind::VoterFull => needs(t.voters.is_empty(), "voters"),
-        TroubleKind::Propose => needs(size.voters == 0, "voters in the day"),
-        TroubleKind::VoterList => needs(!matches!(t.voters.len(), 3 | 5), "three or five voters"),
+        | TroubleKind::VoterFull => required(t.voters.is_empty(), "voters"),
+        TroubleKind::Propose => required(size.voters == 0, "voters in the day"),
+        TroubleKind::VoterList => required(!matches!(t.voters.len(), 3 | 5), "three or five voters"),
         TroubleKind::KeeperRoll | TroubleKind::KeeperStall | TroubleKind::NewKey => {
-            needs(size.schools == 0, "schools in the day")
+            required(size.schools == 0, "schools in the day")
         }
         TroubleKind::ZoneLoss | TroubleKind::DiscoveryStale | TroubleKind::ReportLate => None,
     }
