--- a/crates/kelpdoor-lab/src/fluid/tests.rs
+++ b/crates/kelpdoor-lab/src/fluid/tests.rs
@@ -50,30 +50,30 @@
 }
 
 #[test]
-fn an_overfull_link_and_an_overfull_uplink_give_equal_shares() {
+fn overloaded_link_or_uplink_gives_equal_shares() {
     let mut fleet = fleet();
     let by = title_factor("t");
     fleet.insert("a".into(), stream(0, 1));
     fleet.insert("b".into(), stream(0, 0));
-    fleet.tick(0.0);
-    fleet.tick(1.0);
+    fleet.advance(0.0);
+    fleet.advance(1.0);
     let got = |f: &FluidFleet, k: &str| f.streams[k].got_kb / f.streams[k].asked_kb;
     let share = (200.0 / (300.0 * by)).min(1.0);
     assert!((got(&fleet, "a") - share).abs() < 1e-9 && (got(&fleet, "b") - share).abs() < 1e-9);
     fleet.insert("c".into(), stream(1, 1));
     fleet.uplink_factor[0] = 0.1;
-    fleet.tick(1.0);
+    fleet.advance(1.0);
     let before = fleet.streams["c"].got_kb;
-    fleet.tick(2.0);
+    fleet.advance(2.0);
     let uplink = 30.0 / (500.0 * by);
     assert!((fleet.streams["c"].got_kb - before - 200.0 * by * uplink).abs() < 1e-6);
 }
 
 #[test]
-fn a_cold_node_falls_when_pushed() {
+fn too_many_setups_overload_cold_node() {
     let mut fleet = fleet();
     fleet.nodes.get_mut(&0).unwrap().started = 0.0;
-    // 2 x 1 s x 0.5 warm x 10 places / 10 s = 1 a window.
-    assert!(matches!(fleet.setup(0.1, 0), SetupDecision::Accepted(_)));
-    assert_eq!(fleet.setup(0.2, 0), SetupDecision::Overloaded);
+    // The limit is 2 x 1 s x 0.5 (warmth) x 10 places / 10 s = 1 SETUP in a window.
+    assert!(matches!(fleet.handle_setup(0.1, 0), SetupDecision::Accepted(_)));
+    assert_eq!(fleet.handle_setup(0.2, 0), SetupDecision::Overloaded);
 }
--- a/crates/kelpdoor-lab/src/node.rs
+++ b/crates/kelpdoor-lab/src/node.rs
@@ -232,7 +232,7 @@
             every.tick().await;
             let t = now();
             let mut s = self.lock();
-            s.fleet.tick(t);
+            s.fleet.advance(t);
             if t - shares_sent_at >= 1.0 {
                 shares_sent_at = t;
                 self.schedule_share_notifications(&mut s, t);
@@ -425,7 +425,7 @@
             s.fleet.streams.contains_key(id).then(|| id.to_owned())
         };
         match r.method {
-            Method::Setup => match s.fleet.setup(t, node) {
+            Method::Setup => match s.fleet.handle_setup(t, node) {
                 SetupDecision::Overloaded => {
                     drop(s);
                     self.cold_overloads.send_modify(|n| *n += 1);
--- a/crates/kelpdoor-lab/src/relay.rs
+++ b/crates/kelpdoor-lab/src/relay.rs
@@ -1,5 +1,5 @@
-//! A plain relay to measure the director against: the same sockets and messages, a random holder of the title, and
-//! nothing of the decisions. It keeps no rule and is no use for anything else.
+//! A plain relay as a baseline for the director's load measurement. It uses the same sockets and messages but picks a
+//! random node that holds the title; it decides nothing and keeps none of the rules.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -15,23 +15,24 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use tokio_tungstenite::tungstenite::handshake::server::{ErrorResponse, Request as Asked, Response};
+use tokio_tungstenite::tungstenite::handshake::server::{ErrorResponse, Request as UpgradeRequest, Response};
 use tokio_tungstenite::tungstenite::http::HeaderValue;
 use tokio_tungstenite::tungstenite::protocol::{Message as Frame, WebSocketConfig};
 
-/// Who waits for the answer to a PLAY or TEARDOWN.
-type Waiting = (mpsc::UnboundedSender<String>, RequestKey, bool);
+/// Player, key, and whether it was a PLAY (else a TEARDOWN), of a request whose response is pending.
+type PendingRequest = (mpsc::UnboundedSender<String>, RequestKey, bool);
 
 #[derive(Default)]
 struct State {
     list: RosterList,
-    /// Writer of each node's link, and the CSeq last used on it.
-    links: HashMap<u32, (mpsc::UnboundedSender<Vec<u8>>, u32)>,
-    waiting: HashMap<(u32, u32), Waiting>,
-    /// Node and the node's id, by key.
+    /// Writer of each node's connection, and the CSeq last used on it.
+    node_links: HashMap<u32, (mpsc::UnboundedSender<Vec<u8>>, u32)>,
+    /// By node and CSeq.
+    pending: HashMap<(u32, u32), PendingRequest>,
+    /// Node and RTSP session id, by key.
     playing: HashMap<RequestKey, (u32, String)>,
     rng: Rng,
-    next: u64,
+    next_pipeline: u64,
 }
 
 type Shared = Arc<Mutex<State>>;
@@ -40,41 +41,48 @@
     s.lock().unwrap_or_else(|e| e.into_inner())
 }
 
+/// Runs the relay with a director's settings and prints the address on which it listens.
+///
+/// # Errors
+/// If the settings are invalid, or the roster or a node cannot be reached.
 pub async fn run(config: &Path) -> Result<()> {
     let deployment = Deployment::read(config).map_err(|f| anyhow::anyhow!("{f:?}"))?;
     let shared: Shared = Arc::default();
-    let stream = TcpStream::connect(deployment.roster.address).await.context("the roster")?;
+    let stream = TcpStream::connect(deployment.roster.address).await.context("connecting to the roster")?;
     let (read, mut write) = stream.into_split();
     let hello = serde_json::to_string(&ToRoster::Hello { director: 0 })? + "\n";
     write.write_all(hello.as_bytes()).await?;
     let mut lines = BufReader::new(read).lines();
-    let first = lines.next_line().await?.context("no list")?;
-    let whole: FromRoster = serde_json::from_str(&first)?;
-    lock(&shared).list.take(&whole, &deployment.fleet)?;
+    let first = lines.next_line().await?.context("the roster closed the connection without a list")?;
+    let full_list: FromRoster = serde_json::from_str(&first)?;
+    lock(&shared).list.take(&full_list, &deployment.fleet)?;
     let nodes: Vec<_> = lock(&shared).list.nodes.values().cloned().collect();
     for n in nodes {
         let stream = TcpStream::connect(n.address).await?;
         stream.set_nodelay(true)?;
         let (to, from) = mpsc::unbounded_channel();
-        lock(&shared).links.insert(n.id, (to, 0));
-        tokio::spawn(link(n.id, stream, from, shared.clone()));
+        lock(&shared).node_links.insert(n.id, (to, 0));
+        tokio::spawn(serve_node(n.id, stream, from, shared.clone()));
     }
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     println!("relay listening on {}", listener.local_addr()?);
     loop {
         let (stream, _) = listener.accept().await?;
-        tokio::spawn(player(stream, shared.clone()));
+        tokio::spawn(serve_player(stream, shared.clone()));
     }
 }
 
-async fn link(node: u32, stream: TcpStream, mut from: mpsc::UnboundedReceiver<Vec<u8>>, shared: Shared) {
+/// Reads and writes a node's connection until it closes.
+async fn serve_node(
+    node: u32, stream: TcpStream, mut from: mpsc::UnboundedReceiver<Vec<u8>>, shared: Shared,
+) {
     let (mut read, mut write) = stream.into_split();
     let reader = async {
         let mut buf = Vec::with_capacity(4096);
         loop {
             while let Ok(Some((message, len))) = parse(&buf) {
                 buf.drain(..len);
-                heard(node, message, &shared);
+                handle_node_message(node, message, &shared);
             }
             if !matches!(read.read_buf(&mut buf).await, Ok(n) if n > 0) {
                 return;
@@ -91,17 +99,18 @@
     tokio::select! { () = reader => {}, () = writer => {} }
 }
 
-fn heard(node: u32, message: Message, shared: &Shared) {
+/// Confirms a node's notification, or passes a response on to the player that waits for it.
+fn handle_node_message(node: u32, message: Message, shared: &Shared) {
     let mut s = lock(shared);
     match message {
         Message::Request(r) => {
             let bytes = Message::from(kelpdoor_rtsp::Response::new(200, r.cseq)).to_bytes();
-            if let Some((to, _)) = s.links.get(&node) {
+            if let Some((to, _)) = s.node_links.get(&node) {
                 let _ = to.send(bytes);
             }
         }
         Message::Response(r) => {
-            let Some((to, key, play)) = s.waiting.remove(&(node, r.cseq)) else { return };
+            let Some((to, key, play)) = s.pending.remove(&(node, r.cseq)) else { return };
             let answer = if !play {
                 ToPlayer::Ended { key, why: EndReason::Stopped }
             } else if r.ok() {
@@ -116,21 +125,23 @@
     }
 }
 
-fn ask(s: &mut State, node: u32, request: Request, wait: Option<Waiting>) {
-    let Some((to, cseq)) = s.links.get_mut(&node) else { return };
+/// Sends a request to a node with the next CSeq.
+fn send_request(s: &mut State, node: u32, request: Request, pending_request: Option<PendingRequest>) {
+    let Some((to, cseq)) = s.node_links.get_mut(&node) else { return };
     *cseq += 1;
     let request = Request { cseq: *cseq, ..request };
     let _ = to.send(Message::from(request).to_bytes());
-    if let Some(wait) = wait {
-        let cseq = s.links[&node].1;
-        s.waiting.insert((node, cseq), wait);
+    if let Some(pending_request) = pending_request {
+        let cseq = s.node_links[&node].1;
+        s.pending.insert((node, cseq), pending_request);
     }
 }
 
-async fn player(stream: TcpStream, shared: Shared) {
+/// Serves a player's socket until it closes.
+async fn serve_player(stream: TcpStream, shared: Shared) {
     let _ = stream.set_nodelay(true);
     #[expect(clippy::result_large_err, reason = "the library's own signature")]
-    let check = |_: &Asked, mut response: Response| -> Result<Response, ErrorResponse> {
+    let check = |_: &UpgradeRequest, mut response: Response| -> Result<Response, ErrorResponse> {
         response.headers_mut().insert("Sec-WebSocket-Protocol", HeaderValue::from_static(SUBPROTOCOL));
         Ok(response)
     };
@@ -162,22 +173,22 @@
                         let Some(node) = s.list.nodes.values().find(|n| n.cell == cell).map(|n| n.id) else {
                             continue;
                         };
-                        s.next += 1;
-                        let pipe = s.next;
+                        s.next_pipeline += 1;
+                        let pipe = s.next_pipeline;
                         let uri = format!("rtsp://node-{node}/{title}");
                         let setup = Request::new(Method::Setup, &uri, 0)
                             .with(header_names::PIPELINED, pipe)
                             .with(header_names::RUNG, 1)
                             .with(header_names::SERVICE_GROUP, group)
                             .with(header_names::REQUEST_KEY, &key.0);
-                        ask(&mut s, node, setup, None);
+                        send_request(&mut s, node, setup, None);
                         let play = Request::new(Method::Play, &uri, 0).with(header_names::PIPELINED, pipe);
-                        ask(&mut s, node, play, Some((to.clone(), key, true)));
+                        send_request(&mut s, node, play, Some((to.clone(), key, true)));
                     }
                     FromPlayer::Stop { key } => {
                         if let Some((node, id)) = s.playing.remove(&key) {
                             let teardown = Request::new(Method::Teardown, "rtsp://node/", 0).with(header_names::SESSION, id);
-                            ask(&mut s, node, teardown, Some((to.clone(), key, false)));
+                            send_request(&mut s, node, teardown, Some((to.clone(), key, false)));
                         }
                     }
                     FromPlayer::Ping { .. } => {}
--- a/crates/kelpdoor-lab/src/schools.rs
+++ b/crates/kelpdoor-lab/src/schools.rs
@@ -1,5 +1,5 @@
-//! Schools, their tokens and the keeper of their seats in a lab: an issuer whose key changes, and a keeper process that is
-//! killed, stalled and started again.
+//! Schools of a lab: an issuer of their tokens that can change its key, and the keeper of their seats as a process that
+//! can be killed, stalled and restarted.
 
 use std::io::Write as _;
 use std::os::unix::fs::OpenOptionsExt as _;
@@ -19,16 +19,18 @@
 use crate::record::now;
 use crate::trouble::DaySettings;
 
-/// Stand in the settings for what is known only when a lab runs.
+/// Placeholder in settings for the path of the key set.
 pub const KEYS_PLACEHOLDER: &str = "keys-of-the-lab.json";
+/// Placeholder in settings for the keeper's address.
 pub const KEEPER_PLACEHOLDER: &str = "127.0.0.1:1";
-/// Whom tokens are meant for.
+/// Audience of the tokens.
 pub const AUDIENCE: &str = "kelpdoor-lab";
 
-/// What directors and keeper agree on.
-const LEASE: &str = "lease = 14, clock_error = 0.5, beat_every = 1.5";
+/// Arguments of `keeper` that are the same for directors and the keeper.
+const LEASE_SETTINGS: &str = "lease = 14, clock_error = 0.5, beat_every = 1.5";
 
-/// The lines of a director's settings; none where the day has no schools.
+/// The part of a director's settings that concerns schools; empty if the day has none. `group` holds arguments of the
+/// group `ticket`.
 pub fn settings(size: &DaySettings, group: &str) -> String {
     if size.schools == 0 {
         return String::new();
@@ -36,55 +38,71 @@
     format!(
         "group(\"ticket\", {group}, token = True)\n\
          tokens(keys = \"{KEYS_PLACEHOLDER}\", audience = \"{AUDIENCE}\", warn = 1.5, reread = 0.2, longest = 600)\n\
-         keeper(address = \"{KEEPER_PLACEHOLDER}\", {LEASE}, wait = 0.4, ahead = 2)\n"
+         keeper(address = \"{KEEPER_PLACEHOLDER}\", {LEASE_SETTINGS}, wait = 0.4, ahead = 2)\n"
     )
 }
 
+/// Name of a school by its number.
 pub fn school_name(k: u32) -> String {
     format!("school-{k}")
 }
 
-/// Issues the tokens of all schools.
+/// Issues the tokens of all schools and writes the key set that directors read.
 pub struct TokenIssuer {
     keys: PathBuf,
-    /// The latest signs.
+    /// Every key in the key set. The last one signs.
     issuers: Mutex<Vec<Issuer>>,
 }
 
 impl TokenIssuer {
+    /// Creates an issuer with one key, and the key set in `dir`.
+    ///
+    /// # Errors
+    /// If no key can be made or the key set cannot be written.
     pub fn new(dir: &Path) -> Result<Arc<Self>> {
         let token_issuer = TokenIssuer { keys: dir.join(KEYS_PLACEHOLDER), issuers: Mutex::new(Vec::new()) };
         token_issuer.next_key()?;
         Ok(Arc::new(token_issuer))
     }
 
+    /// Path of the key set.
     pub fn key_set_path(&self) -> &Path {
         &self.keys
     }
 
-    fn write(&self, issuers: &[Issuer]) -> io::Result<()> {
+    /// Replaces the key set in one step.
+    fn write_key_set(&self, issuers: &[Issuer]) -> io::Result<()> {
         let new = self.keys.with_extension("new");
         fs::write(&new, key_set(issuers))?;
         fs::rename(new, &self.keys)
     }
 
-    /// Another key signs from now on; those before it stay good.
+    /// Signs with a new key from now on. Older keys stay in the key set.
+    ///
+    /// # Errors
+    /// If no key can be made or the key set cannot be written.
     pub fn next_key(&self) -> Result<()> {
         let mut issuers = self.issuers.lock().unwrap_or_else(|e| e.into_inner());
         let kid = format!("key-{}", issuers.len() + 1);
         issuers.push(Issuer::new(&kid).map_err(|e| anyhow!(e))?);
-        Ok(self.write(&issuers)?)
+        Ok(self.write_key_set(&issuers)?)
     }
 
-    /// Only the latest key is good from now on.
+    /// Removes all keys but the latest from the key set.
+    ///
+    /// # Errors
+    /// If the key set cannot be written.
     pub fn retire_old_keys(&self) -> Result<()> {
         let mut issuers = self.issuers.lock().unwrap_or_else(|e| e.into_inner());
         let old = issuers.len().saturating_sub(1);
         issuers.drain(..old);
-        Ok(self.write(&issuers)?)
+        Ok(self.write_key_set(&issuers)?)
     }
 
-    /// A token that is good for so many seconds.
+    /// Issues a token that is valid for `lasts` seconds.
+    ///
+    /// # Errors
+    /// If it cannot be signed.
     pub fn token(&self, school: &str, id: &str, lasts: f64) -> Result<String> {
         let now = now();
         let claims = Claims {
@@ -98,12 +116,15 @@
             exp: now + lasts,
         };
         let issuers = self.issuers.lock().unwrap_or_else(|e| e.into_inner());
-        let latest = issuers.last().context("no key")?;
+        let latest = issuers.last().context("the token issuer has no key")?;
         latest.sign(&claims).map_err(|e| anyhow!(e))
     }
 }
 
-/// The key pair kept in a folder, made there with its key set if there is none.
+/// Loads the key pair in a directory, or creates it there together with its key set.
+///
+/// # Errors
+/// If the directory cannot be written or the key pair cannot be read.
 pub fn load_or_create_issuer(folder: &Path) -> Result<Issuer> {
     fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
     let path = folder.join("issuer.pk8");
@@ -117,18 +138,22 @@
     Issuer::from_pkcs8("key-1", &pkcs8).map_err(|e| anyhow!("{}: {e}", path.display()))
 }
 
-/// The keeper as a process of its own.
+/// The keeper, run as a process.
 pub struct KeeperProcess {
     program: PathBuf,
     dir: PathBuf,
     schools: u32,
     seats: u32,
-    /// Fixed from the first start on.
+    /// Where it listens; the same after a restart.
     pub address: String,
     child: Option<Daemon>,
 }
 
 impl KeeperProcess {
+    /// Starts a keeper on a free port, with its ledger, settings and log in `dir`.
+    ///
+    /// # Errors
+    /// If it cannot be started.
     pub async fn start(program: &Path, dir: &Path, size: &DaySettings) -> Result<Self> {
         let mut keeper = KeeperProcess {
             program: program.to_owned(),
@@ -144,14 +169,18 @@
 
     fn script(&self) -> String {
         let ledger = self.dir.join("ledger").display().to_string();
-        let mut text = format!("keeper(listen = \"{}\", ledger = {ledger:?}, {LEASE})\n", self.address);
+        let mut text =
+            format!("keeper(listen = \"{}\", ledger = {ledger:?}, {LEASE_SETTINGS})\n", self.address);
         for k in 0..self.schools {
             text += &format!("school({:?}, seats = {})\n", school_name(k), self.seats);
         }
         text
     }
 
-    /// Starts it where it listened before.
+    /// Starts the keeper again on the same address.
+    ///
+    /// # Errors
+    /// If it cannot be started.
     pub async fn restart(&mut self) -> Result<()> {
         let path = self.dir.join("keeper.star");
         fs::write(&path, self.script())?;
@@ -162,12 +191,14 @@
         Ok(())
     }
 
+    /// Kills the process, if it runs.
     pub async fn kill(&mut self) {
         if let Some(mut daemon) = self.child.take() {
             let _ = daemon.child.kill().await;
         }
     }
 
+    /// Stops (`on`) or continues the process, if it runs.
     pub fn stall(&self, on: bool) {
         let signal = if on { Signal::SIGSTOP } else { Signal::SIGCONT };
         if let Some(pid) = self.child.as_ref().and_then(|c| c.child.id()) {
@@ -175,15 +206,22 @@
         }
     }
 
-    /// Seats held and lent over all schools, as the keeper says.
+    /// Asks the keeper for the numbers of seats held and leased, over all schools.
+    ///
+    /// # Errors
+    /// If it does not answer.
     pub async fn seat_counts(&self) -> Result<(u32, u32)> {
         let mut stream = TcpStream::connect(&self.address).await?;
-        let mut ask = serde_json::to_vec(&Ask::Standing)?;
-        ask.push(b'\n');
-        stream.write_all(&ask).await?;
-        let line = BufReader::new(stream).lines().next_line().await?.context("no answer")?;
+        let mut request = serde_json::to_vec(&Ask::Standing)?;
+        request.push(b'\n');
+        stream.write_all(&request).await?;
+        let line = BufReader::new(stream)
+            .lines()
+            .next_line()
+            .await?
+            .context("the keeper closed the connection without an answer")?;
         let Tell::Standing { schools, .. } = serde_json::from_str(&line)? else {
-            return Err(anyhow!("not a standing: {line}"));
+            return Err(anyhow!("unexpected answer of the keeper: {line}"));
         };
         Ok((schools.iter().map(|s| s.held).sum(), schools.iter().map(|s| s.lent).sum()))
     }
