--- a/crates/kelpdoor-lab/src/lib.rs
+++ b/crates/kelpdoor-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lab: stand-ins for nodes, roster and players, trouble scripts, the record of what crossed the sockets, and
-//! the checker of the six rules. The daemon does not need it.
+//! The test lab: stand-ins for nodes, roster and players, trouble scripts, the record of all messages, and the checker of
+//! the rules. The daemon does not depend on it.
 
 pub mod agreed;
 pub mod between;
--- a/crates/kelpdoor-lab/src/main.rs
+++ b/crates/kelpdoor-lab/src/main.rs
@@ -27,75 +27,77 @@
 #[command(name = "kelpdoor-lab", version, about = "Stand-ins, bad days and their checker for kelpdoor")]
 struct Arguments {
     #[command(subcommand)]
-    what: Act,
+    what: Command,
 }
 
 #[derive(Subcommand)]
-enum Act {
-    /// Start stand-ins and two directors, print where they listen, and stay until interrupted.
+enum Command {
+    /// Start stand-ins and two directors, print their addresses, and run until interrupted.
     Up,
-    /// Play a bad day against real directors and judge the six rules. Exit 1 if one broke.
+    /// Run a bad day against real directors and check the rules. Exit 1 if one is violated.
     BadDay {
-        /// A trouble script; the default day where absent.
+        /// A trouble script; without it, the default day.
         script: Option<PathBuf>,
-        /// The short day.
+        /// Run the short day.
         #[arg(long, conflicts_with = "script")]
         short: bool,
-        /// Another seed than the script's; several days with seeds from there on.
+        /// Seed instead of the script's; with several days, the seed of the first one.
         #[arg(long)]
         seed: Option<u64>,
+        /// Number of days, each with the next seed.
         #[arg(long, default_value_t = 1)]
         days: u64,
-        /// Under odd settings: few seats, high floors, a small budget, a cold start that tips soon.
+        /// Use unusual settings: few seats, high floors, a small budget, cold nodes that fail soon.
         #[arg(long)]
         odd: bool,
         /// Keep record, logs and settings there.
         #[arg(long)]
         keep: Option<PathBuf>,
     },
-    /// Play random schedules of faults against real processes. Exit 1 with seed and a shortened schedule if a property broke.
+    /// Run random schedules of faults against real processes. Exit 1 with the seed and a shortened schedule if a property
+    /// is violated.
     Chaos {
         #[command(subcommand)]
-        what: ChaosAct,
+        what: ChaosCommand,
     },
-    /// Load a director, and beside it in the same run a plain relay, and measure both.
+    /// Measure a director under load, and a plain relay for comparison.
     Load {
         /// New sessions a second.
         #[arg(long, default_value_t = 500.0)]
         rate: f64,
-        /// How long each is held, s.
+        /// How long each session is held, s.
         #[arg(long, default_value_t = 20.0)]
         hold: f64,
-        /// How long it is measured once all are held, s.
+        /// How long the load is measured once it is at its full size, s.
         #[arg(long, default_value_t = 20.0)]
         seconds: f64,
         #[arg(long, default_value_t = 200)]
         sockets: u32,
         #[arg(long, default_value_t = 40)]
         nodes: u32,
-        /// Times that both are measured, in turn.
+        /// How often both are measured, alternately.
         #[arg(long, default_value_t = 1)]
         turns: u32,
     },
-    /// The plain relay that `load` measures beside the director.
+    /// Run the plain relay that `load` measures for comparison.
     #[command(hide = true)]
     Relay {
         #[arg(long)]
         config: PathBuf,
     },
-    /// Trouble scripts.
+    /// Work with trouble scripts.
     Trouble {
         #[command(subcommand)]
-        what: TroubleAct,
+        what: TroubleCommand,
     },
-    /// Issue a token for trying a deployment out. Key pair and key set are made in the folder if it has none.
+    /// Issue a token to try out a deployment. A directory without a key pair gets a new one and its key set.
     Token {
-        /// Holds the key pair, and `keys.json`, the key set for `tokens(keys = ..)`.
+        /// Directory of the key pair and of `keys.json`, the key set for `tokens(keys = ..)`.
         #[arg(long)]
         keys: PathBuf,
         #[arg(long)]
         school: String,
-        /// Names the seat, with the school; a renewal has the same one.
+        /// Identifies the seat within the school; a renewal has the same id.
         #[arg(long)]
         id: String,
         #[arg(long, default_value = "kelpdoor")]
@@ -104,83 +106,85 @@
         group: Option<String>,
         #[arg(long)]
         seat_class: Option<String>,
-        /// s
+        /// Lifetime, s.
         #[arg(long, default_value_t = 600.0)]
         lasts: f64,
     },
-    /// Measure what each role costs as a fleet grows, and work out a fleet from it.
+    /// Measure the cost of each role as a fleet grows, and plan a fleet from it.
     Scale(scale::Scale),
-    /// Judge a record again.
+    /// Check a record.
     Check { record: PathBuf },
 }
 
 #[derive(Subcommand)]
-enum ChaosAct {
-    /// Directors that agree on their rules: cuts, slow lines, kills, stalls and lost disks, with rules changing meanwhile.
+enum ChaosCommand {
+    /// Directors that agree on their rules, which change during cuts, slow connections, kills, stalls and lost disks.
     Agreement {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Schedules, of seeds from there on.
+        /// Number of schedules, each with the next seed.
         #[arg(long, default_value_t = 1)]
         runs: u64,
-        /// Half the time, nothing shortened.
+        /// Run for half the time and shorten nothing.
         #[arg(long)]
         short: bool,
         #[arg(long, default_value_t = 5)]
         directors: u32,
         #[arg(long, default_value_t = 3)]
         voters: u32,
-        /// Schedules played at a time.
+        /// Number of schedules that run at the same time.
         #[arg(long, default_value_t = 1)]
         at_once: usize,
         /// Keep records, logs and settings there.
         #[arg(long)]
         keep: Option<PathBuf>,
-        /// Print the schedule and play nothing.
+        /// Print the schedule without running it.
         #[arg(long)]
         print: bool,
     },
 }
 
 #[derive(Subcommand)]
-enum TroubleAct {
-    /// Print a script made of a day drawn by the bench, at a size that fits one machine.
+enum TroubleCommand {
+    /// Convert a day drawn by the bench into a script at a size that fits one machine, and print it.
     FromDay { day: PathBuf },
-    /// Check a script: each fault with file, line and column.
+    /// Check a script and print each error with file, line and column.
     Check { script: PathBuf },
 }
 
-fn script_of(path: Option<&Path>, short: bool) -> Result<TroubleScript> {
+/// Reads a script; without a path, the default or the short day.
+fn load_script(path: Option<&Path>, short: bool) -> Result<TroubleScript> {
     let read = match path {
         Some(path) => TroubleScript::read(path),
         None if short => TroubleScript::parse("short-day.star", day::SHORT_SCRIPT),
         None => TroubleScript::parse("bad-day.star", day::DEFAULT_SCRIPT),
     };
-    read.map_err(|faults| {
-        anyhow::anyhow!(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+    read.map_err(|errors| {
+        anyhow::anyhow!(errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
     })
 }
 
-fn times(of: &Histogram<u64>) -> String {
+/// Median and 99th percentile of times in microseconds.
+fn format_times(of: &Histogram<u64>) -> String {
     let ms = |q| of.value_at_quantile(q) as f64 / 1e3;
     format!("{:.1} ms, {:.1} ms", ms(0.5), ms(0.99))
 }
 
-fn show(v: &Verdict) {
+fn print_verdict(v: &Verdict) {
     let mut table = Table::new();
     let rows = [
         ("viewers", v.viewers.to_string()),
         ("sessions asked for", v.starts.to_string()),
         ("playing, busy, failed", format!("{}, {}, {}", v.playing, v.busy, v.failed)),
         ("no answer in time, director down or stalled", v.excused.to_string()),
-        ("SETUPs, of them further", format!("{}, {}", v.setups, v.further)),
+        ("SETUPs, of these further", format!("{}, {}", v.setups, v.further)),
         ("rung changes", v.rung_changes.to_string()),
-        ("start time, median and 99 in 100", times(&v.start_times)),
-        ("the same with a token", times(&v.token_start_times)),
-        ("most of a cold node's limit used", format!("{:.0} %", 100.0 * v.max_cold_load)),
+        ("start time, median and 99th percentile", format_times(&v.start_times)),
+        ("start time with a token, the same", format_times(&v.token_start_times)),
+        ("largest load of a cold node, of its limit", format!("{:.0} %", 100.0 * v.max_cold_load)),
         ("tokens, sessions played with them", format!("{}, {}", v.tokens, v.token_sessions)),
         ("most seats of a school in use, of", format!("{}, {}", v.seats_used.0, v.seats_used.1)),
-        ("cold nodes pushed over", v.cold_overloads.to_string()),
+        ("cold nodes that failed under load", v.cold_overloads.to_string()),
         ("service", format!("{:.3}", v.service)),
     ];
     for (name, value) in rows {
@@ -193,11 +197,11 @@
         "one final answer in time",
         "no double set-up",
         "nothing new to drained nodes",
-        "cold nodes not pushed",
+        "cold nodes not overloaded",
         "floors and seats",
         "budget for further SETUPs",
-        "seats of schools counted once, freed once",
-        "nothing for viewers that have gone",
+        "seats of schools counted and freed once",
+        "no SETUP for viewers that have left",
     ];
     for (k, name) in names.iter().enumerate() {
         let count = v.violations.iter().filter(|b| usize::from(b.rule) == k + 1).count();
@@ -209,6 +213,7 @@
     }
 }
 
+/// Runs one day and prints the result. Returns whether all checks passed.
 async fn bad_day(script: TroubleScript, odd: bool, keep: Option<PathBuf>) -> Result<bool> {
     let temporary = tempfile::tempdir()?;
     let dir = keep.unwrap_or_else(|| temporary.path().to_owned());
@@ -219,19 +224,19 @@
         ProgressBar::hidden()
     };
     bar.set_style(ProgressStyle::with_template("{elapsed} {bar:40} {pos} of {len} s")?);
-    let over =
+    let result =
         day::run(&script, if odd { ODD_SETTINGS } else { "" }, &std::env::current_exe()?, &dir, false, |t| {
             bar.set_position(t as u64)
         })
         .await?;
     bar.finish_and_clear();
-    let lines = record::read(&over.record)?;
+    let lines = record::read(&result.record)?;
     let verdict = check(&lines);
-    show(&verdict);
+    print_verdict(&verdict);
     let mut agreed = true;
     if script.size.voters > 0 {
         let judged = judge(&lines, script.size.contradiction);
-        show_agreed(&judged);
+        print_agreement(&judged);
         judged
             .broken
             .iter()
@@ -239,13 +244,13 @@
             .for_each(|(n, what)| println!("agreement broken, line {n} of the record: {what}"));
         agreed = judged.broken.is_empty();
     }
-    if !over.exited_cleanly {
-        println!("a director did not end well; its log is in {}", dir.display());
+    if !result.exited_cleanly {
+        println!("a director did not exit cleanly; its log is in {}", dir.display());
     }
-    Ok(verdict.violations.is_empty() && agreed && over.exited_cleanly)
+    Ok(verdict.violations.is_empty() && agreed && result.exited_cleanly)
 }
 
-fn show_agreed(j: &Judged) {
+fn print_agreement(j: &Judged) {
     println!(
         "{} versions, {} acknowledged; {} SETUPs, {} of them with an older version beside, {} after the last trouble; \
          older alone for {:.2} s, mixed for {:.2} s at most",
@@ -253,24 +258,24 @@
     );
 }
 
-/// Plays schedules, some at once; whether all were good.
+/// Runs schedules, up to `at_once` at a time. Returns whether all passed.
 async fn chaos(
     seeds: std::ops::Range<u64>, scale: Scale, at_once: usize, keep: Option<PathBuf>,
 ) -> Result<bool> {
     let temporary = tempfile::tempdir()?;
     let dir = keep.unwrap_or_else(|| temporary.path().to_owned());
     let program = std::env::current_exe()?;
-    let room = Arc::new(Semaphore::new(at_once.max(1)));
+    let permits = Arc::new(Semaphore::new(at_once.max(1)));
     let mut plays = JoinSet::new();
     for seed in seeds {
-        let (room, program, dir) = (room.clone(), program.clone(), dir.join(seed.to_string()));
+        let (permits, program, dir) = (permits.clone(), program.clone(), dir.join(seed.to_string()));
         plays.spawn(async move {
-            let _permit = room.acquire_owned().await;
+            let _permit = permits.acquire_owned().await;
             let script = chaos::read(&chaos::schedule(seed, scale))?;
             anyhow::Ok((seed, dir.clone(), chaos::play(&script, &program, &dir).await?))
         });
     }
-    let mut good = 0;
+    let mut passed = 0;
     let mut bad = Vec::new();
     let (mut alone, mut mixed, mut taken) = (0.0f64, 0.0f64, Vec::new());
     while let Some(played) = plays.join_next().await {
@@ -279,12 +284,12 @@
             "seed {seed}: {} playing, {} busy, {} failed; ",
             played.rules.playing, played.rules.busy, played.rules.failed
         );
-        show_agreed(&played.agreed);
+        print_agreement(&played.agreed);
         alone = alone.max(played.agreed.alone);
         mixed = mixed.max(played.agreed.mixed);
         taken.extend(played.agreed.taken_after.iter().copied());
         if played.good() {
-            good += 1;
+            passed += 1;
         } else {
             played.broken().iter().take(10).for_each(|b| println!("  {b}"));
             bad.push((seed, dir));
@@ -295,7 +300,7 @@
         taken.get((part * (taken.len().saturating_sub(1)) as f64) as usize).copied().unwrap_or(0.0)
     };
     println!(
-        "{good} good, {} broken; older alone for {alone:.2} s, mixed for {mixed:.2} s at most; from proposal to the last SETUP \
+        "{passed} good, {} broken; older alone for {alone:.2} s, mixed for {mixed:.2} s at most; from proposal to the last SETUP \
          without it {:.2} s at the median, {:.2} s at most",
         bad.len(),
         at(0.5),
@@ -312,8 +317,8 @@
     Ok(bad.is_empty())
 }
 
-/// Does the troubles of a line, now.
-fn live(runner: &TroubleRunner, line: &str) {
+/// Applies the troubles of a line of input now.
+fn apply_line(runner: &TroubleRunner, line: &str) {
     let size = serde_json::to_value(&runner.script.size).unwrap_or_default();
     let day: Vec<String> =
         size.as_object().into_iter().flatten().map(|(k, v)| format!("{k} = {v}")).collect();
@@ -322,13 +327,14 @@
             let runner = runner.clone();
             tokio::spawn(async move { runner.apply(kind, &t).await });
         }),
-        Err(faults) => faults.iter().for_each(|f| println!("{f}")),
+        Err(errors) => errors.iter().for_each(|f| println!("{f}")),
     }
 }
 
+/// Starts stand-ins and directors and applies troubles from standard input until interrupted.
 async fn up() -> Result<()> {
     let dir = tempfile::tempdir()?;
-    let mut script = script_of(None, true)?;
+    let mut script = load_script(None, true)?;
     script.size.directors = 2;
     let shared = settings(&script.size, "");
     let stand_ins = StandIns::start(&script.size, &shared, Recorder::disabled()).await?;
@@ -354,9 +360,9 @@
         println!("group ticket needs a token, as this one, good for ten minutes: {token}");
         println!("keeper of seats: {}, for kelpdoord seats --keeper", keeper.address);
     }
-    println!("settings and logs in {}; Ctrl-C ends", dir.path().display());
+    println!("settings and logs in {}; Ctrl-C stops the lab", dir.path().display());
     println!(
-        "a line of a trouble script does that trouble now, as in: crash(at = 0, nodes = [2], lasts = 5)"
+        "enter a line of a trouble script to apply it now, for example: crash(at = 0, nodes = [2], lasts = 5)"
     );
     let agreeing = processes.agreeing.clone();
     let runner = TroubleRunner {
@@ -375,7 +381,7 @@
             }
             line = lines.next_line(), if open => match line? {
                 None => open = false,
-                Some(line) => live(&runner, &line),
+                Some(line) => apply_line(&runner, &line),
             },
         }
     }
@@ -386,25 +392,26 @@
     Ok(())
 }
 
-async fn act(arguments: Arguments) -> Result<bool> {
+/// Runs a subcommand. Returns whether all checks passed.
+async fn run_command(arguments: Arguments) -> Result<bool> {
     match arguments.what {
-        Act::Up => up().await.map(|()| true),
-        Act::BadDay { script, short, seed, days, odd, keep } => {
-            let mut script = script_of(script.as_deref(), short)?;
+        Command::Up => up().await.map(|()| true),
+        Command::BadDay { script, short, seed, days, odd, keep } => {
+            let mut script = load_script(script.as_deref(), short)?;
             script.size.seed = seed.unwrap_or(script.size.seed);
-            let mut good = true;
+            let mut passed = true;
             for k in 0..days {
                 if days > 1 {
                     println!("seed {}", script.size.seed);
                 }
                 let keep = keep.as_ref().map(|d| if days > 1 { d.join(k.to_string()) } else { d.clone() });
-                good &= bad_day(script.clone(), odd, keep).await?;
+                passed &= bad_day(script.clone(), odd, keep).await?;
                 script.size.seed += 1;
             }
-            Ok(good)
+            Ok(passed)
         }
-        Act::Chaos {
-            what: ChaosAct::Agreement { seed, runs, short, directors, voters, at_once, keep, print },
+        Command::Chaos {
+            what: ChaosCommand::Agreement { seed, runs, short, directors, voters, at_once, keep, print },
         } => {
             let (seconds, shorten) = if short { (26.0, 0) } else { (50.0, 12) };
             anyhow::ensure!((1..=20).contains(&directors), "1 to 20 directors");
@@ -416,13 +423,13 @@
             }
             chaos(seed..seed + runs, scale, at_once, keep).await
         }
-        Act::Load { rate, hold, seconds, sockets, nodes, turns } => {
+        Command::Load { rate, hold, seconds, sockets, nodes, turns } => {
             let load = kelpdoor_lab::load::Load { rate, hold, seconds, sockets, nodes, turns };
             println!("{}", load.run(&std::env::current_exe()?).await?);
             Ok(true)
         }
-        Act::Relay { config } => kelpdoor_lab::relay::run(&config).await.map(|()| true),
-        Act::Trouble { what: TroubleAct::FromDay { day } } => {
+        Command::Relay { config } => kelpdoor_lab::relay::run(&config).await.map(|()| true),
+        Command::Trouble { what: TroubleCommand::FromDay { day } } => {
             let text = std::fs::read_to_string(&day).with_context(|| day.display().to_string())?;
             print!(
                 "{}",
@@ -430,12 +437,12 @@
             );
             Ok(true)
         }
-        Act::Trouble { what: TroubleAct::Check { script } } => {
-            let read = script_of(Some(&script), false)?;
+        Command::Trouble { what: TroubleCommand::Check { script } } => {
+            let read = load_script(Some(&script), false)?;
             println!("{}: good, {} troubles", script.display(), read.troubles.len());
             Ok(true)
         }
-        Act::Token { keys, school, id, audience, group, seat_class, lasts } => {
+        Command::Token { keys, school, id, audience, group, seat_class, lasts } => {
             let now = record::now();
             let aud = Audience::One(audience);
             let claims =
@@ -444,28 +451,28 @@
             println!("{}", issuer.sign(&claims).map_err(|e| anyhow::anyhow!(e))?);
             Ok(true)
         }
-        Act::Scale(of) => {
+        Command::Scale(of) => {
             scale::run(of).await?;
             Ok(true)
         }
-        Act::Check { record } => {
+        Command::Check { record } => {
             let lines = record::read(&record).context("reading the record")?;
             if lines.is_empty() {
-                bail!("{}: an empty record", record.display());
+                bail!("{}: the record is empty", record.display());
             }
             let verdict = check(&lines);
-            show(&verdict);
+            print_verdict(&verdict);
             Ok(verdict.violations.is_empty())
         }
     }
 }
 
 fn main() -> ExitCode {
-    // The lab starts directors by running itself as the daemon.
-    let mut given = std::env::args_os();
-    let program = given.next().unwrap_or_default();
+    // The lab starts a daemon by running itself with `director` as the first argument.
+    let mut arguments = std::env::args_os();
+    let program = arguments.next().unwrap_or_default();
     if std::env::args_os().nth(1).is_some_and(|a| a == "director") {
-        return kelpdoord::main(std::iter::once(program).chain(given.skip(1)));
+        return kelpdoord::main(std::iter::once(program).chain(arguments.skip(1)));
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
@@ -474,7 +481,7 @@
             return ExitCode::FAILURE;
         }
     };
-    match runtime.block_on(act(Arguments::parse())) {
+    match runtime.block_on(run_command(Arguments::parse())) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
--- a/crates/kelpdoor-lab/tests/checker.rs
+++ b/crates/kelpdoor-lab/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker, rule by rule: a record that keeps it, and one in which it breaks, with the line that is named.
+//! Tests of the checker: for each rule a record that keeps it and one that violates it, with the line that is named.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -9,46 +9,46 @@
 use kelpdoor_lab::trouble::DaySettings;
 use kelpdoor_script::Deployment;
 
-/// A record in the making, at a time of its own.
-struct Tape {
+/// Builds a record, with a clock of its own.
+struct RecordBuilder {
     t: f64,
     lines: Vec<Entry>,
     cseq: u32,
 }
 
-impl Tape {
-    /// One director, node 0 (and 1) of the east up since long, node 9 of the west.
-    fn new() -> Tape {
+impl RecordBuilder {
+    /// Starts a record with one director, and warm nodes 0 and 1 in the zone east and 9 in west.
+    fn new() -> RecordBuilder {
         let size = DaySettings::default();
         let script =
             director_script(&settings(&size, ""), &size, 0, "127.0.0.1:1".parse().unwrap(), "x".as_ref());
         let deployment = Deployment::parse("s", &script).expect("good settings");
-        let mut tape = Tape { t: 100.0, lines: Vec::new(), cseq: 0 };
-        tape.put(Event::Settings { text: serde_json::to_string(&deployment).unwrap() });
-        tape.put(Event::Director { director: 0, boot: 1, event: "started".into() });
+        let mut record = RecordBuilder { t: 100.0, lines: Vec::new(), cseq: 0 };
+        record.push(Event::Settings { text: serde_json::to_string(&deployment).unwrap() });
+        record.push(Event::Director { director: 0, boot: 1, event: "started".into() });
         for (node, zone) in [(0, "east"), (1, "east"), (9, "west")] {
-            tape.node_up(node, false, zone);
-            tape.told(node, "ready");
+            record.node_up(node, false, zone);
+            record.list_node(node, "ready");
         }
-        tape
+        record
     }
 
-    fn put(&mut self, what: Event) -> usize {
+    fn push(&mut self, what: Event) -> usize {
         self.lines.push(Entry { t: self.t, what });
         self.lines.len()
     }
 
     fn node_up(&mut self, node: u32, cold: bool, zone: &str) {
-        self.put(Event::NodeUp { node, cold, places: 26.0, zone: zone.into(), cell: node as u16 });
+        self.push(Event::NodeUp { node, cold, places: 26.0, zone: zone.into(), cell: node as u16 });
         let hello = "OPTIONS rtsp://n/ RTSP/2.0\r\nCSeq: 0\r\nUser-Agent: kelpdoor/0 (director 0)\r\n\r\n";
-        self.put(Event::Node { node, conn: 1, got: true, text: hello.into() });
+        self.push(Event::Node { node, conn: 1, got: true, text: hello.into() });
     }
 
-    fn told(&mut self, node: u32, phase: &str) {
+    fn list_node(&mut self, node: u32, phase: &str) {
         let up_since = self.t;
         let text =
             format!(r#"{{"change":{{"nodes":[{{"id":{node},"phase":"{phase}","up_since":{up_since}}}]}}}}"#);
-        self.put(Event::Roster { director: 0, text });
+        self.push(Event::Roster { director: 0, text });
     }
 
     fn wait(&mut self, s: f64) -> &mut Self {
@@ -57,7 +57,7 @@
     }
 
     fn player(&mut self, got: bool, text: String) -> usize {
-        self.put(Event::Player { player: 1, director: 0, boot: 1, got, text })
+        self.push(Event::Player { player: 1, director: 0, boot: 1, got, text })
     }
 
     fn start(&mut self, key: &str, group: &str) -> usize {
@@ -75,22 +75,22 @@
              Service-Group: {group}\r\nRequest-Key: {key}\r\n\r\n",
             self.cseq, self.cseq
         );
-        self.put(Event::Node { node, conn: 1, got: true, text });
+        self.push(Event::Node { node, conn: 1, got: true, text });
         (node, self.cseq)
     }
 
-    fn says(&mut self, (node, cseq): (u32, u32), status: u16) {
+    fn respond(&mut self, (node, cseq): (u32, u32), status: u16) {
         let text = format!("RTSP/2.0 {status} X\r\nCSeq: {cseq}\r\nSession: s{cseq}\r\n\r\n");
-        self.put(Event::Node { node, conn: 1, got: false, text });
+        self.push(Event::Node { node, conn: 1, got: false, text });
     }
 
     fn teardown(&mut self, (node, pipe): (u32, u32)) {
         let text =
             format!("TEARDOWN rtsp://n/ RTSP/2.0\r\nCSeq: 9{pipe}\r\nPipelined-Requests: {pipe}\r\n\r\n");
-        self.put(Event::Node { node, conn: 1, got: true, text });
+        self.push(Event::Node { node, conn: 1, got: true, text });
     }
 
-    fn judge(&self, expected: Expect) {
+    fn assert_violations(&self, expected: Expect) {
         let v = check(&self.lines);
         let shown: Vec<String> =
             v.violations.iter().map(|b| format!("rule {}, line {}: {}", b.rule, b.line, b.what)).collect();
@@ -99,143 +99,147 @@
 }
 
 #[test]
-fn rule_1_one_answer_in_time() {
-    let mut tape = Tape::new();
-    tape.start("key-good", "story");
-    tape.wait(2.9).answer("key-good", "busy");
-    tape.judge(expect![[""]]);
-    tape.start("key-late", "story");
-    tape.wait(3.1).answer("key-late", "playing");
-    tape.start("key-none", "story");
-    tape.start("key-both", "story");
-    tape.wait(0.1).answer("key-both", "busy");
-    tape.wait(0.1).answer("key-both", "playing");
-    tape.judge(expect![[r#"
+fn rule_1_late_missing_or_second_answer_is_violation() {
+    let mut record = RecordBuilder::new();
+    record.start("key-good", "story");
+    record.wait(2.9).answer("key-good", "busy");
+    record.assert_violations(expect![[""]]);
+    record.start("key-late", "story");
+    record.wait(3.1).answer("key-late", "playing");
+    record.start("key-none", "story");
+    record.start("key-both", "story");
+    record.wait(0.1).answer("key-both", "busy");
+    record.wait(0.1).answer("key-both", "playing");
+    record.assert_violations(expect![[r#"
         rule 1, line 14: key-late: playing came 0.100 s too late
         rule 1, line 16: key-none: no answer within its 3 s
         rule 1, line 19: key-both: 2 final answers to 1 requests, kinds true"#]]);
 }
 
 #[test]
-fn rule_1_excuses_a_director_that_was_killed_or_stood_still() {
-    let mut tape = Tape::new();
-    tape.start("key-lost", "story");
-    tape.wait(1.0).put(Event::Director { director: 0, boot: 1, event: "killed".into() });
-    tape.judge(expect![[""]]);
-    assert_eq!(check(&tape.lines).excused, 1);
+fn rule_1_missing_answer_of_killed_director_is_excused() {
+    let mut record = RecordBuilder::new();
+    record.start("key-lost", "story");
+    record.wait(1.0).push(Event::Director { director: 0, boot: 1, event: "killed".into() });
+    record.assert_violations(expect![[""]]);
+    assert_eq!(check(&record.lines).excused, 1);
 }
 
 #[test]
-fn rule_2_two_setups_out() {
-    let mut tape = Tape::new();
-    let first = tape.setup("key-good", "story", 0, 0);
-    tape.wait(0.5).teardown(first);
-    tape.setup("key-good", "story", 1, 0);
-    tape.judge(expect![[""]]);
-    tape.setup("key-bad", "story", 0, 0);
-    tape.wait(0.5).setup("key-bad", "story", 1, 0);
-    tape.judge(expect!["rule 2, line 16: key-bad: a second SETUP while line 15's is out or plays"]);
+fn rule_2_second_setup_before_teardown_is_violation() {
+    let mut record = RecordBuilder::new();
+    let first = record.setup("key-good", "story", 0, 0);
+    record.wait(0.5).teardown(first);
+    record.setup("key-good", "story", 1, 0);
+    record.assert_violations(expect![[""]]);
+    record.setup("key-bad", "story", 0, 0);
+    record.wait(0.5).setup("key-bad", "story", 1, 0);
+    record.assert_violations(expect![
+        "rule 2, line 16: key-bad: a second SETUP while line 15's is out or plays"
+    ]);
 }
 
 #[test]
-fn rule_2_paid_and_zoned_groups() {
-    let mut tape = Tape::new();
-    let first = tape.setup("key-good", "paid", 0, 0);
-    tape.wait(0.1).says(first, 453);
-    tape.setup("key-good", "paid", 1, 0);
-    let first = tape.setup("key-zone", "reading", 0, 1);
-    tape.wait(0.5).teardown(first);
-    tape.setup("key-zone", "reading", 1, 1);
-    tape.judge(expect![[""]]);
-    let first = tape.setup("key-paid", "paid", 0, 0);
-    tape.wait(0.5).teardown(first);
-    tape.setup("key-paid", "paid", 1, 0);
-    let first = tape.setup("key-far", "reading", 0, 1);
-    tape.wait(0.5).teardown(first);
-    tape.setup("key-far", "reading", 9, 1);
-    tape.start("key-busy", "paid");
-    let first = tape.setup("key-busy", "paid", 0, 0);
-    tape.wait(0.5).teardown(first);
-    tape.answer("key-busy", "busy");
-    tape.judge(expect![[r#"
+fn rule_2_repeat_that_group_forbids_is_violation() {
+    let mut record = RecordBuilder::new();
+    let first = record.setup("key-good", "paid", 0, 0);
+    record.wait(0.1).respond(first, 453);
+    record.setup("key-good", "paid", 1, 0);
+    let first = record.setup("key-zone", "reading", 0, 1);
+    record.wait(0.5).teardown(first);
+    record.setup("key-zone", "reading", 1, 1);
+    record.assert_violations(expect![[""]]);
+    let first = record.setup("key-paid", "paid", 0, 0);
+    record.wait(0.5).teardown(first);
+    record.setup("key-paid", "paid", 1, 0);
+    let first = record.setup("key-far", "reading", 0, 1);
+    record.wait(0.5).teardown(first);
+    record.setup("key-far", "reading", 9, 1);
+    record.start("key-busy", "paid");
+    let first = record.setup("key-busy", "paid", 0, 0);
+    record.wait(0.5).teardown(first);
+    record.answer("key-busy", "busy");
+    record.assert_violations(expect![[r#"
         rule 2, line 20: key-paid: set up again though line 18's may have run
         rule 2, line 23: key-far: set up again though line 21's may have run
         rule 2, line 27: key-busy: busy though line 25's SETUP may have run"#]]);
 }
 
 #[test]
-fn rule_3_a_drained_node() {
-    let mut tape = Tape::new();
-    tape.wait(1.0).told(0, "draining");
-    tape.wait(0.9).setup("key-good", "story", 0, 0);
-    tape.judge(expect![[""]]);
-    tape.wait(0.5).setup("key-bad", "story", 0, 0);
-    tape.judge(expect!["rule 3, line 14: director 0 sent to node 0 0.40 s past the grace, draining"]);
+fn rule_3_setup_after_drain_grace_is_violation() {
+    let mut record = RecordBuilder::new();
+    record.wait(1.0).list_node(0, "draining");
+    record.wait(0.9).setup("key-good", "story", 0, 0);
+    record.assert_violations(expect![[""]]);
+    record.wait(0.5).setup("key-bad", "story", 0, 0);
+    record.assert_violations(expect![
+        "rule 3, line 14: director 0 sent to node 0 0.40 s past the grace, draining"
+    ]);
 }
 
 #[test]
-fn rule_4_a_cold_node() {
-    let mut tape = Tape::new();
-    tape.node_up(1, true, "east");
-    tape.told(1, "ready");
-    // 4 x 2 s x 0.4 x 26 places / 8 s = 10.4 in two seconds.
+fn rule_4_setups_above_cold_limit_are_violation() {
+    let mut record = RecordBuilder::new();
+    record.node_up(1, true, "east");
+    record.list_node(1, "ready");
+    // The limit is 4 x 2 s x 0.4 (warmth) x 26 places / 8 s = 10.4 SETUPs in two seconds.
     for k in 0..10 {
-        tape.wait(0.01).setup(&format!("key-{k:04}"), "story", 1, 0);
+        record.wait(0.01).setup(&format!("key-{k:04}"), "story", 1, 0);
     }
-    tape.judge(expect![[""]]);
-    tape.wait(0.01).setup("key-more", "story", 1, 0);
-    tape.judge(expect!["rule 4, line 25: cold node 1 got 11 SETUPs in 2 s, it bears 10.6"]);
+    record.assert_violations(expect![[""]]);
+    record.wait(0.01).setup("key-more", "story", 1, 0);
+    record.assert_violations(expect!["rule 4, line 25: cold node 1 got 11 SETUPs in 2 s, it bears 10.6"]);
 }
 
 #[test]
-fn rule_5_floors_and_seats() {
-    let mut tape = Tape::new();
+fn rule_5_rung_under_floor_or_session_above_seats_is_violation() {
+    let mut record = RecordBuilder::new();
     for k in 0..20 {
-        let out = tape.setup(&format!("key-{k:04}"), "lecture", 0, 0);
-        tape.says(out, 200);
+        let out = record.setup(&format!("key-{k:04}"), "lecture", 0, 0);
+        record.respond(out, 200);
     }
-    tape.setup("key-floor", "reading", 0, 1);
-    tape.judge(expect![[""]]);
-    tape.setup("key-seat", "lecture", 0, 0);
-    tape.setup("key-under", "reading", 0, 0);
-    tape.judge(expect![[r#"
+    record.setup("key-floor", "reading", 0, 1);
+    record.assert_violations(expect![[""]]);
+    record.setup("key-seat", "lecture", 0, 0);
+    record.setup("key-under", "reading", 0, 0);
+    record.assert_violations(expect![[r#"
         rule 5, line 53: director 0 holds 21 of title-01 in lecture, 20 seats
         rule 5, line 54: rung 0 under the floor 1 of reading"#]]);
 }
 
 #[test]
-fn rule_6_further_setups() {
-    let mut tape = Tape::new();
-    // 4, and one for every four sessions taken.
+fn rule_6_further_setup_above_budget_is_violation() {
+    let mut record = RecordBuilder::new();
+    // The budget is 4, and one for every four sessions taken.
     for k in 0..6 {
         let key = format!("key-{k:04}");
-        tape.start(&key, "story");
-        let first = tape.setup(&key, "story", 0, 0);
-        tape.wait(0.3).says(first, 453);
-        tape.setup(&key, "story", 1, 0);
-        tape.answer(&key, "playing");
+        record.start(&key, "story");
+        let first = record.setup(&key, "story", 0, 0);
+        record.wait(0.3).respond(first, 453);
+        record.setup(&key, "story", 1, 0);
+        record.answer(&key, "playing");
         if k == 4 {
-            tape.judge(expect![[""]]);
+            record.assert_violations(expect![[""]]);
         }
     }
-    tape.judge(expect!["rule 6, line 40: director 0: 6 further SETUPs in 10 s, 5.5 allowed"]);
+    record.assert_violations(expect!["rule 6, line 40: director 0: 6 further SETUPs in 10 s, 5.5 allowed"]);
 }
 
 #[test]
-fn rule_8_a_viewer_that_has_gone() {
-    let mut t = Tape::new();
-    t.node_up(1, false, "a");
+fn rule_8_third_late_setup_is_violation() {
+    let mut record = RecordBuilder::new();
+    record.node_up(1, false, "a");
     for k in 0..4 {
         let key = format!("gone-{k}");
-        t.start(&key, "story");
-        t.player(false, format!(r#"{{"type":"leave","key":"{key}"}}"#));
-        // Just after it is no case.
-        t.wait(if k == 0 { 0.05 } else { 0.2 });
-        let setup = t.setup(&key, "story", 1, 1);
-        t.teardown(setup);
+        record.start(&key, "story");
+        record.player(false, format!(r#"{{"type":"leave","key":"{key}"}}"#));
+        // A SETUP 0.05 s after the viewer left is not late.
+        record.wait(if k == 0 { 0.05 } else { 0.2 });
+        let setup = record.setup(&key, "story", 1, 1);
+        record.teardown(setup);
     }
-    // The second and third late ones are the second and third cases.
-    let verdict = check(&t.lines);
+    // Three SETUPs are late; only the third is a violation.
+    let verdict = check(&record.lines);
     let broken: Vec<u8> = verdict.violations.iter().map(|b| b.rule).collect();
     assert_eq!(
         (verdict.left_early, verdict.late_setups, broken),
@@ -246,19 +250,19 @@
 }
 
 #[test]
-fn a_record_read_back_is_the_same() {
+fn record_read_from_file_equals_what_was_written() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("r.zst");
     let (recorder, file) = kelpdoor_lab::record::Recorder::to_file(&path).unwrap();
-    let tape = Tape::new();
-    tape.lines.iter().for_each(|l| recorder.record(l.what.clone()));
+    let record = RecordBuilder::new();
+    record.lines.iter().for_each(|l| recorder.record(l.what.clone()));
     file.finish().unwrap();
     let back: Vec<Event> = kelpdoor_lab::record::read(&path).unwrap().into_iter().map(|l| l.what).collect();
-    assert_eq!(back, tape.lines.into_iter().map(|l| l.what).collect::<Vec<_>>());
+    assert_eq!(back, record.lines.into_iter().map(|l| l.what).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_drawn_day_becomes_a_script_that_fits() {
+fn drawn_day_is_scaled_to_script() {
     let day = r#"{"noise": 42, "length": 5e7, "zones": [{}], "balancers": [{},{},{},{},{},{}], "fam": {"racks": 4},
         "traffic": {"load": 0.7}, "discovery": {"notice": 2000000},
         "servers": [SERVERS],
@@ -285,9 +289,9 @@
     assert!(kelpdoor_lab::drawn_day::to_script("{}").is_err());
 }
 
-impl Tape {
-    /// A request with a token that plays from now on.
-    fn ticket(&mut self, key: &str, id: &str, node: u32) -> (u32, u32) {
+impl RecordBuilder {
+    /// Adds a request with a token whose session plays from now on.
+    fn play_with_token(&mut self, key: &str, id: &str, node: u32) -> (u32, u32) {
         let claims = URL_SAFE_NO_PAD.encode(format!(r#"{{"school":"olaf","jti":"{id}","exp":9e9}}"#));
         self.player(
             false,
@@ -298,29 +302,29 @@
         let out = self.setup(key, "story", node, 0);
         let (node, pipe) = out;
         let play = format!("PLAY rtsp://n/ RTSP/2.0\r\nCSeq: 8{pipe}\r\nPipelined-Requests: {pipe}\r\n\r\n");
-        self.put(Event::Node { node, conn: 1, got: true, text: play });
+        self.push(Event::Node { node, conn: 1, got: true, text: play });
         let ok = format!("RTSP/2.0 200 OK\r\nCSeq: 8{pipe}\r\n\r\n");
-        self.put(Event::Node { node, conn: 1, got: false, text: ok });
+        self.push(Event::Node { node, conn: 1, got: false, text: ok });
         self.answer(key, "playing");
         out
     }
 }
 
 #[test]
-fn rule_7_seats_of_schools() {
-    let mut tape = Tape::new();
-    tape.put(Event::Schools { seats: 1 });
-    let first = tape.ticket("key-good", "a", 0);
-    tape.wait(1.0).teardown(first);
-    let second = tape.wait(0.1).ticket("key-next", "b", 1);
-    // The same token at another request, told in time.
-    tape.wait(1.0).ticket("key-moved", "b", 0);
-    tape.wait(1.0).teardown(second);
-    tape.judge(expect![[""]]);
-    tape.wait(1.0).ticket("key-over", "c", 1);
-    tape.wait(0.1).ticket("key-twice", "b", 1);
-    tape.wait(6.0).put(Event::SeatsLeft { held: 2 });
-    tape.judge(expect![[r#"
+fn rule_7_token_above_seats_or_at_two_directors_is_violation() {
+    let mut record = RecordBuilder::new();
+    record.push(Event::Schools { seats: 1 });
+    let first = record.play_with_token("key-good", "a", 0);
+    record.wait(1.0).teardown(first);
+    let second = record.wait(0.1).play_with_token("key-next", "b", 1);
+    // The same token with another request; the first session ends in time.
+    record.wait(1.0).play_with_token("key-moved", "b", 0);
+    record.wait(1.0).teardown(second);
+    record.assert_violations(expect![[""]]);
+    record.wait(1.0).play_with_token("key-over", "c", 1);
+    record.wait(0.1).play_with_token("key-twice", "b", 1);
+    record.wait(6.0).push(Event::SeatsLeft { held: 2 });
+    record.assert_violations(expect![[r#"
         rule 7, line 31: olaf: 2 of 1 seats in use
         rule 7, line 36: olaf: 2 of 1 seats in use
         rule 7, line 36: olaf: b plays at two directors, since line 25 too
