--- a/crates/kelpdoor-lab/src/main.rs
+++ b/crates/kelpdoor-lab/src/main.rs
@@ -27,7 +27,7 @@
 #[command(name = "kelpdoor-lab", version, about = "Stand-ins, bad days and their checker for kelpdoor")]
 struct Arguments {
     #[command(subcommand)]
-    what: Command,
+    command: Command,
 }
 
 #[derive(Subcommand)]
@@ -58,7 +58,7 @@
     /// is violated.
     Chaos {
         #[command(subcommand)]
-        what: ChaosCommand,
+        command: ChaosCommand,
     },
     /// Measure a director under load, and a plain relay for comparison.
     Load {
@@ -88,7 +88,7 @@
     /// Work with trouble scripts.
     Trouble {
         #[command(subcommand)]
-        what: TroubleCommand,
+        command: TroubleCommand,
     },
     /// Issue a token to try out a deployment. A directory without a key pair gets a new one and its key set.
     Token {
@@ -394,7 +394,7 @@
 
 /// Runs a subcommand. Returns whether all checks passed.
 async fn run_command(arguments: Arguments) -> Result<bool> {
-    match arguments.what {
+    match arguments.command {
         Command::Up => up().await.map(|()| true),
         Command::BadDay { script, short, seed, days, odd, keep } => {
             let mut script = load_script(script.as_deref(), short)?;
@@ -411,7 +411,7 @@
             Ok(passed)
         }
         Command::Chaos {
-            what: ChaosCommand::Agreement { seed, runs, short, directors, voters, at_once, keep, print },
+            command: ChaosCommand::Agreement { seed, runs, short, directors, voters, at_once, keep, print },
         } => {
             let (seconds, shorten) = if short { (26.0, 0) } else { (50.0, 12) };
             anyhow::ensure!((1..=20).contains(&directors), "1 to 20 directors");
@@ -429,7 +429,7 @@
             Ok(true)
         }
         Command::Relay { config } => kelpdoor_lab::relay::run(&config).await.map(|()| true),
-        Command::Trouble { what: TroubleCommand::FromDay { day } } => {
+        Command::Trouble { command: TroubleCommand::FromDay { day } } => {
             let text = std::fs::read_to_string(&day).with_context(|| day.display().to_string())?;
             print!(
                 "{}",
@@ -437,7 +437,7 @@
             );
             Ok(true)
         }
-        Command::Trouble { what: TroubleCommand::Check { script } } => {
+        Command::Trouble { command: TroubleCommand::Check { script } } => {
             let read = load_script(Some(&script), false)?;
             println!("{}: good, {} troubles", script.display(), read.troubles.len());
             Ok(true)
