--- a/crates/kelpdoor-lab/src/check.rs
+++ b/crates/kelpdoor-lab/src/check.rs
@@ -17,7 +17,7 @@
 const MAX_REORDERING: f64 = 0.25;
 /// A SETUP begun more than this many seconds after its viewer left counts as late.
 const LATE_SETUP_AFTER: f64 = 0.1;
-/// Late SETUPs are violations from this one on.
+/// Late SETUPs are violations from this one on; fewer can be chance.
 const MIN_LATE_SETUPS: usize = 3;
 /// Longest time in seconds that a roster line takes from the stand-in to the director.
 const ROSTER_DELIVERY_TIME: f64 = 0.1;
@@ -48,7 +48,7 @@
     pub setups: usize,
     /// Viewers that left before they were answered.
     pub left_early: usize,
-    /// SETUPs begun more than [`LATE_SETUP_AFTER`] after their viewer had left.
+    /// SETUPs begun more than `LATE_SETUP_AFTER` after their viewer had left.
     pub late_setups: usize,
     /// SETUPs after the first one of the same request.
     pub further: usize,
@@ -282,7 +282,7 @@
         (director, self.boots.get(&director).copied().unwrap_or(0))
     }
 
-    fn handle_event(&mut self, n: usize, t: f64, what: &Event) {
+    fn handle_event(&mut self, line: usize, t: f64, what: &Event) {
         match what {
             Event::Settings { text } => self.terms = Terms::parse(text),
             Event::NodeUp { node, cold, places, zone, .. } => {
@@ -308,7 +308,7 @@
             Event::Schools { seats } => self.schools = Some(*seats as usize),
             Event::SeatsLeft { held } => {
                 if *held > 0 {
-                    self.report(7, n, format!("{held} seats are held though nobody holds any"));
+                    self.report(7, line, format!("{held} seats are held though nobody holds any"));
                 }
             }
             Event::Keeper { event } => match event.as_str() {
@@ -318,7 +318,7 @@
             Event::NodeConn { .. } | Event::Trouble { .. } | Event::PlayerSock { .. } => {}
             // The module `agreed` checks these.
             Event::Voter { .. } | Event::Proposed { .. } | Event::Outcome { .. } | Event::Calm => {}
-            Event::Node { node, conn, got, text } => self.handle_rtsp(n, t, *node, *conn, *got, text),
+            Event::Node { node, conn, got, text } => self.handle_rtsp(line, t, *node, *conn, *got, text),
             Event::Stream { node, key, share, .. } => {
                 let of = self.setups.iter_mut().rev().find(|s| s.node == *node && s.key == *key);
                 if let Some(s) = of {
@@ -330,7 +330,7 @@
                 self.wishes.push((group.clone(), u64::from(*best_rung), *seconds));
             }
             Event::Player { director, boot, got, text, .. } => {
-                self.handle_player_message(n, t, (*director, *boot), *got, text)
+                self.handle_player_message(line, t, (*director, *boot), *got, text)
             }
             Event::Roster { director, text } => self.handle_roster(t, *director, text),
             Event::Director { director, boot, event } => match event.as_str() {
@@ -369,7 +369,7 @@
         self.setups.iter_mut().filter(|s| s.ended.is_none() && of(s)).for_each(|s| s.ended = Some(t));
     }
 
-    fn handle_rtsp(&mut self, n: usize, t: f64, node: u32, conn: u64, got: bool, text: &str) {
+    fn handle_rtsp(&mut self, line: usize, t: f64, node: u32, conn: u64, got: bool, text: &str) {
         let m = Rtsp(text);
         let cseq = m.get("CSeq").unwrap_or("").to_owned();
         match (got, m.method()) {
@@ -379,7 +379,7 @@
                     self.conns.insert((node, conn), d);
                 }
             }
-            (true, Some("SETUP")) => self.handle_setup(n, t, node, conn, &m, cseq),
+            (true, Some("SETUP")) => self.handle_setup(line, t, node, conn, &m, cseq),
             (true, Some("PLAY")) => {
                 let pipe = m.get("Pipelined-Requests").unwrap_or("").to_owned();
                 if let Some(&k) = self.setup_by_pipeline.get(&(node, conn, pipe)) {
@@ -393,7 +393,7 @@
                 if let (Some(k), Some(rung)) = (k, rung) {
                     self.verdict.rung_changes += 1;
                     self.setups[k].rungs.push((t, rung));
-                    self.check_floor(n, k, rung);
+                    self.check_floor(line, k, rung);
                 }
             }
             (true, Some("TEARDOWN")) => {
@@ -433,15 +433,15 @@
     }
 
     /// Checks rule 5: no rung under the group's floor.
-    fn check_floor(&mut self, n: usize, k: usize, rung: u64) {
+    fn check_floor(&mut self, line: usize, k: usize, rung: u64) {
         let group = self.setups[k].group.clone();
         let floor = self.terms.groups.get(&group).map_or(0, |g| g.floor);
         if rung < floor {
-            self.report(5, n, format!("rung {rung} under the floor {floor} of {group}"));
+            self.report(5, line, format!("rung {rung} under the floor {floor} of {group}"));
         }
     }
 
-    fn handle_setup(&mut self, n: usize, t: f64, node: u32, conn: u64, m: &Rtsp<'_>, cseq: String) {
+    fn handle_setup(&mut self, line: usize, t: f64, node: u32, conn: u64, m: &Rtsp<'_>, cseq: String) {
         self.verdict.setups += 1;
         let Some(&director) = self.conns.get(&(node, conn)) else { return };
         let run = self.current_run(director);
@@ -456,7 +456,7 @@
             title,
             node,
             conn,
-            line: n,
+            line,
             at: t,
             rungs: vec![(t, rung)],
             plays: None,
@@ -473,12 +473,12 @@
             self.verdict.late_setups += 1;
             if self.verdict.late_setups >= MIN_LATE_SETUPS {
                 let what = format!("director {director} sent a SETUP {late:.3} s after its viewer had gone");
-                self.report(8, n, what);
+                self.report(8, line, what);
             }
         }
         self.setup_by_pipeline.insert((node, conn, get("Pipelined-Requests")), k);
         self.request_by_cseq.insert((node, conn, cseq), (k, false));
-        self.check_floor(n, k, rung);
+        self.check_floor(line, k, rung);
         // Rule 3: nothing new to drained nodes.
         if let Some((told, phase)) = self.roster_phases.get(&(director, node)).cloned() {
             let late = t - told - self.terms.grace;
@@ -486,20 +486,20 @@
             if phase != "ready" && late > ROSTER_DELIVERY_TIME && !stands {
                 self.report(
                     3,
-                    n,
+                    line,
                     format!("director {director} sent to node {node} {late:.2} s past the grace, {phase}"),
                 );
             }
         }
         if let Some(process) = self.node_processes.get_mut(&node) {
-            process.arrivals.push((t, n, run));
+            process.arrivals.push((t, line, run));
         }
-        self.check_cold_node(n, t, node);
+        self.check_cold_node(line, t, node);
     }
 
     /// Checks rule 4 for the window that ends with this SETUP. It counts only if more than half of the SETUPs came from
     /// directors that knew that the node was cold.
-    fn check_cold_node(&mut self, n: usize, t: f64, node: u32) {
+    fn check_cold_node(&mut self, line: usize, t: f64, node: u32) {
         let (from, warm, tip, fall) =
             (self.terms.cold_from, self.terms.warm, self.terms.tip, self.terms.fall);
         let Some(process) = self.node_processes.get(&node).filter(|l| l.cold && t < l.up + warm) else {
@@ -517,7 +517,7 @@
         self.verdict.max_cold_load = self.verdict.max_cold_load.max(count as f64 / limit);
         if count as f64 > limit && informed * 2 > count {
             let what = format!("cold node {node} got {count} SETUPs in {fall} s, it bears {limit:.1}");
-            self.report(4, n, what);
+            self.report(4, line, what);
         }
     }
 
@@ -553,7 +553,7 @@
         self.listed_nodes.entry(director).or_default().extend(named);
     }
 
-    fn handle_player_message(&mut self, n: usize, t: f64, run: Run, got: bool, text: &str) {
+    fn handle_player_message(&mut self, line: usize, t: f64, run: Run, got: bool, text: &str) {
         let v: Value = serde_json::from_str(text).unwrap_or_default();
         let kind = v["type"].as_str().unwrap_or("");
         let Some(key) = v["key"].as_str().map(str::to_owned) else { return };
@@ -569,7 +569,7 @@
                     self.starts.push(Start {
                         run,
                         key,
-                        line: n,
+                        line,
                         at: t,
                         timeout: v["setup_timeout"].as_f64().unwrap_or(0.0),
                         group: v["group"].as_str().unwrap_or("").to_owned(),
@@ -581,8 +581,8 @@
                 }
             },
             (true, "playing" | "busy" | "failed") => match known {
-                Some(k) => self.starts[k].finals.push((t, n, kind.to_owned())),
-                None => self.report(1, n, format!("an answer to no request: {key}")),
+                Some(k) => self.starts[k].finals.push((t, line, kind.to_owned())),
+                None => self.report(1, line, format!("an answer to no request: {key}")),
             },
             (false, "leave") => {
                 if let Some(k) = known {
--- a/crates/kelpdoor-lab/src/day.rs
+++ b/crates/kelpdoor-lab/src/day.rs
@@ -447,19 +447,19 @@
     Ok(())
 }
 
-/// Runs a script to its end and leaves the record in `dir`. `other` replaces the default settings unless it is empty;
+/// Runs a script to its end and leaves the record in `dir`. `custom` replaces the default settings unless it is empty;
 /// with `journal` each director writes a journal. `on_progress` gets the seconds since the start.
 ///
 /// # Errors
 /// If stand-ins or directors cannot be started, or the record cannot be written.
 pub async fn run(
-    script: &TroubleScript, other: &str, program: &Path, dir: &Path, journal: bool,
+    script: &TroubleScript, custom: &str, program: &Path, dir: &Path, journal: bool,
     mut on_progress: impl FnMut(f64),
 ) -> Result<DayResult> {
     let record = dir.join("record.zst");
     let (recorder, file) = Recorder::to_file(&record)?;
     let size = &script.size;
-    let shared = settings(size, other);
+    let shared = settings(size, custom);
     let stand_ins = Arc::new(StandIns::start(size, &shared, recorder.clone()).await?);
     let mut processes = Processes::new(
         size,
--- a/crates/kelpdoor-lab/src/fleet.rs
+++ b/crates/kelpdoor-lab/src/fleet.rs
@@ -165,8 +165,8 @@
         let notification_delays =
             NotificationDelays { seen_after: f.seen_after, told_every: f.told_every, extra: 0.0 };
         let nodes = Nodes::new(fleet, notification_delays, recorder.clone(), roster.clone());
-        for build in node_configs(size, &mut rng) {
-            nodes.start(&build, true).await?;
+        for config in node_configs(size, &mut rng) {
+            nodes.start(&config, true).await?;
         }
         tokio::spawn(roster.clone().serve(listener));
         tokio::spawn(nodes.clone().run());
--- a/crates/kelpdoor-lab/src/load.rs
+++ b/crates/kelpdoor-lab/src/load.rs
@@ -195,7 +195,7 @@
         arguments.extend(["--config".as_ref(), script.as_os_str()]);
         let (mut child, address) = spawn(program, &arguments).await?;
         let pid = child.id().context("the process ended")?;
-        // The director takes all nodes for doubtful in its first 5 s.
+        // The director regards all nodes as doubtful during its first 5 s.
         tokio::time::sleep(Duration::from_secs(6)).await;
         let idle = process_usage(pid)?.1;
         let times = Histogram::new_with_bounds(1, 60_000_000, 3)?;
--- a/crates/kelpdoor-lab/src/node.rs
+++ b/crates/kelpdoor-lab/src/node.rs
@@ -48,7 +48,7 @@
     out: mpsc::UnboundedSender<Vec<u8>>,
     task: AbortHandle,
     cseq: u32,
-    /// Whether the last share sent was below the full rate.
+    /// Whether the node's share was below 98 % when it was last checked.
     was_short: bool,
 }
 
--- a/crates/kelpdoor-lab/src/trouble.rs
+++ b/crates/kelpdoor-lab/src/trouble.rs
@@ -73,20 +73,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TroubleKind {
+    /// Nodes are killed and restarted.
     Crash,
+    /// Nodes stop answering, and are restarted later.
     Vanish,
+    /// The links of nodes lose rate.
     Slow,
+    /// The links of nodes lose rate in short, repeated intervals.
     Neighbour,
+    /// The uplinks of racks lose rate.
     RackSag,
+    /// Set-ups at nodes become slower step by step until the nodes are restarted.
     Ageing,
+    /// Nodes are drained and restarted, one by one.
     Deploy,
+    /// The roster tells of changes later than usual.
     DiscoveryStale,
+    /// Nodes send their notifications later than usual.
     ReportLate,
+    /// Directors are killed and restarted, one by one.
     BalancerRoll,
+    /// The processes of directors are stopped for a while.
     BalancerStall,
+    /// All nodes of a zone are killed and restarted.
     ZoneLoss,
+    /// Many players ask for one title.
     HotKey,
+    /// Nodes are drained, killed after the notice, and restarted.
     Preempt,
+    /// Nodes are drained for a while.
     Drain,
     /// The keeper is killed and restarted.
     KeeperRoll,
