--- a/crates/kelpdoor-lab/src/lib.rs
+++ b/crates/kelpdoor-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lab: stand-ins for nodes, roster and players, trouble scripts, the record of what crossed the sockets, and
-//! the checker of the six rules. The daemon does not need it.
+//! The test lab: stand-ins for nodes, roster and players, trouble scripts, the record of all messages, and the checker of
+//! the rules. The daemon does not depend on it.
 
 pub mod agreed;
 pub mod between;
@@ -7,9 +7,9 @@
 pub mod check;
 pub mod daemon;
 pub mod day;
+pub mod drawn_day;
 pub mod fleet;
 pub mod fluid;
-pub mod fromday;
 pub mod load;
 pub mod node;
 pub mod platform;
@@ -18,6 +18,6 @@
 pub mod relay;
 pub mod roster;
 pub mod scale;
-pub mod tickets;
+pub mod schools;
 pub mod trouble;
 pub mod voting;
