--- a/crates/kelpdoor-lab/src/scale.rs
+++ b/crates/kelpdoor-lab/src/scale.rs
@@ -2,7 +2,7 @@
 
 pub mod changes;
 pub mod fit;
-pub mod follow;
+pub mod follower;
 pub mod hollow;
 pub mod plan;
 pub mod points;
@@ -39,11 +39,11 @@
     #[arg(long, default_value_t = 1200.0)]
     pub within: f64,
     #[command(subcommand)]
-    pub what: Option<What>,
+    pub measurement: Option<Measurement>,
 }
 
 #[derive(Subcommand, Clone, Debug)]
-pub enum What {
+pub enum Measurement {
     /// Real voters under hollow directors: processor time, memory, bytes, time of an answer.
     Voters(voters::Options),
     /// Changes of the rules: how much of the time directors may begin sessions, and how fast a change is in force.
@@ -62,25 +62,25 @@
 /// # Errors
 /// What could not be measured, or read.
 pub async fn run(of: Scale) -> Result<()> {
-    let part = match &of.what {
-        Some(What::Voters(o)) => voters::measure(&of, o).await?,
-        Some(What::Changes(o)) => changes::measure(&of, o).await?,
-        Some(What::Sessions(o)) => sessions::measure(&of, o).await?,
-        Some(What::Hollow) => return hollow::work().await,
-        Some(What::Add { points }) => {
+    let part = match &of.measurement {
+        Some(Measurement::Voters(o)) => voters::measure(&of, o).await?,
+        Some(Measurement::Changes(o)) => changes::measure(&of, o).await?,
+        Some(Measurement::Sessions(o)) => sessions::measure(&of, o).await?,
+        Some(Measurement::Hollow) => return hollow::run_process().await,
+        Some(Measurement::Add { points }) => {
             let text = std::fs::read(points).with_context(|| points.display().to_string())?;
             let points = serde_json::from_slice(&text).with_context(|| points.display().to_string())?;
             return fit::add(&of.json, &points, &of.note);
         }
-        Some(What::Plan(o)) => return plan::run(o),
+        Some(Measurement::Plan(o)) => return plan::run(o),
         None => {
             let mut all = voters::measure(&of, &voters::Options::default()).await?;
-            all.join(changes::measure(&of, &changes::Options::default()).await?);
-            all.join(sessions::measure(&of, &sessions::Options::default()).await?);
-            points::show(&all);
+            all.merge(changes::measure(&of, &changes::Options::default()).await?);
+            all.merge(sessions::measure(&of, &sessions::Options::default()).await?);
+            points::print_table(&all);
             return fit::write(&of.json, &all, &of.note);
         }
     };
-    points::show(&part);
+    points::print_table(&part);
     if of.keep { fit::add(&of.json, &part, &of.note) } else { Ok(()) }
 }
--- a/crates/kelpdoor-lab/src/scale/changes.rs
+++ b/crates/kelpdoor-lab/src/scale/changes.rs
@@ -16,9 +16,9 @@
 use tokio::time::sleep;
 
 use super::Scale;
-use super::hollow::{self, Spec};
+use super::hollow::{self, HollowSpec};
 use super::points::{Point, Points};
-use super::simulate::{Outcome, Plan, loop_cost, simulate};
+use super::simulate::{Outcome, SimulationPlan, director_loop_cost, simulate};
 use super::voters::{FLEET, HOLLOW, Operator, Voters, bar, write};
 
 /// Voters in virtual time: one in each region of the target.
@@ -133,7 +133,7 @@
                 unit: "core".into(),
                 by: "document bytes".into(),
                 x: document as f64,
-                y: loop_cost(VOTERS, contradiction, document, COST * lease),
+                y: director_loop_cost(VOTERS, contradiction, document, COST * lease),
                 seed,
                 at: format!("{VOTERS} voters, contradiction {contradiction} s"),
                 hollow: "a director's loop alone: no reading, no connections, no JSON".into(),
@@ -156,7 +156,7 @@
 #[derive(Clone, Debug)]
 struct Run {
     kind: Kind,
-    plan: Plan,
+    plan: SimulationPlan,
 }
 
 /// s of virtual time of so many directors that come to that many questions at most.
@@ -168,26 +168,35 @@
 
 /// All runs, those first that matter most: short of time the last are left out.
 fn plans(all: &Scale, of: &Options) -> Vec<Run> {
-    let plan = Plan { voters: VOTERS, ..Plan::default() };
+    let plan = SimulationPlan { voters: VOTERS, ..SimulationPlan::default() };
     let mut cells = Vec::new();
     let least = all.sizes.iter().copied().min().unwrap_or(0);
     for seed in 1..=all.seeds {
         for &contradiction in &of.contradictions {
-            let plan = Plan { seed, contradiction, ..plan.clone() };
+            let plan = SimulationPlan { seed, contradiction, ..plan.clone() };
             // The spread of seeds is taken where it is cheap; what grows with directors is seen of one.
             for &directors in all.sizes.iter().filter(|d| seed == 1 || **d == least) {
                 let span = span(of, directors, contradiction);
                 let (burst, within) = BURST;
-                let of_burst = Plan { directors, burst, span: within, ..plan.clone() };
+                let of_burst = SimulationPlan { directors, burst, span: within, ..plan.clone() };
                 cells.push(Run { kind: Kind::Burst, plan: of_burst });
-                let at = |rate: &f64| Plan { directors, rate: *rate, span, ..plan.clone() };
+                let at = |rate: &f64| SimulationPlan { directors, rate: *rate, span, ..plan.clone() };
                 cells.extend(of.rates.iter().map(at).map(|plan| Run { kind: Kind::Rate, plan }));
             }
             let (directors, rate, span) = TOLD;
-            let told = |document: &usize| Plan { directors, rate, span, document: *document, ..plan.clone() };
+            let told = |document: &usize| SimulationPlan {
+                directors,
+                rate,
+                span,
+                document: *document,
+                ..plan.clone()
+            };
             cells.extend(of.documents.iter().map(told).map(|plan| Run { kind: Kind::Document, plan }));
             let (directors, span) = CUT;
-            cells.push(Run { kind: Kind::Cut, plan: Plan { directors, rate, span, cut: true, ..plan } });
+            cells.push(Run {
+                kind: Kind::Cut,
+                plan: SimulationPlan { directors, rate, span, cut: true, ..plan },
+            });
         }
     }
     cells
@@ -263,7 +272,7 @@
                 self.kind, o.why_given_up
             ));
         }
-        let least_part = least(&o.parts);
+        let least_part = least(&o.begin_fractions);
         let (by, x, at) = match self.kind {
             Kind::Rate => ("changes/s", p.rate, format!("{} directors", p.directors)),
             Kind::Burst => ("directors", p.directors as f64, format!("burst of {}", p.burst)),
@@ -286,37 +295,52 @@
             put("director", "control bytes in answers with a document", "B/s", Some(o.documents));
             return;
         }
-        put("fleet", "part of the time in which directors may begin, mean", "of 1", mean(&o.parts));
+        put("fleet", "part of the time in which directors may begin, mean", "of 1", mean(&o.begin_fractions));
         put("fleet", "part of the time in which directors may begin, worst director", "of 1", least_part);
-        for (what, all) in [("known by all", &o.known), ("in force everywhere", &o.force)] {
+        for (what, all) in [("known by all", &o.known_delays), ("in force everywhere", &o.in_force_delays)] {
             for (name, q) in [("median", 0.5), ("p99", 0.99), ("most", 1.0)] {
                 put("fleet", &format!("{what}, {name}"), "s", quantile(all, q));
             }
         }
-        put("fleet", "changes not in force by the end", "changes", Some(o.never as f64));
-        put("fleet", "changes in force by the end", "changes", Some(o.force.len() as f64));
+        put("fleet", "changes not in force by the end", "changes", Some(o.not_in_force as f64));
+        put("fleet", "changes in force by the end", "changes", Some(o.in_force_delays.len() as f64));
         put("operator", "proposals", "proposals", Some(o.proposals as f64));
-        put("operator", "proposals lost to another", "of 1", Some(o.lost as f64 / o.proposals.max(1) as f64));
-        put("operator", "proposals not taken then", "of 1", Some(o.busy as f64 / o.proposals.max(1) as f64));
+        put(
+            "operator",
+            "proposals lost to another",
+            "of 1",
+            Some(o.proposals_lost as f64 / o.proposals.max(1) as f64),
+        );
+        put(
+            "operator",
+            "proposals not taken then",
+            "of 1",
+            Some(o.proposals_not_taken as f64 / o.proposals.max(1) as f64),
+        );
         put("operator", "changes given up", "changes", Some(o.given_up as f64));
-        put("operator", "decided, median", "s", quantile(&o.decided, 0.5));
-        put("operator", "decided, most", "s", quantile(&o.decided, 1.0));
+        put("operator", "decided, median", "s", quantile(&o.decision_times, 0.5));
+        put("operator", "decided, most", "s", quantile(&o.decision_times, 1.0));
         put(
             "director",
             &format!("control bytes, documents of {} B", p.document.max(100)),
             "B/s",
             Some(o.bytes),
         );
-        put("director", "control messages", "1/s", Some(o.words));
+        put("director", "control messages", "1/s", Some(o.messages));
         put("voter", "questions", "1/s", Some(o.questions));
         if self.kind == Kind::Cut {
-            put("cut director", "part of the time in which it may begin, mean", "of 1", mean(&o.cut));
-            put("cut director", "healed: may begin again, median", "s", quantile(&o.again, 0.5));
-            put("cut director", "healed: may begin again, most", "s", quantile(&o.again, 1.0));
-            let missing = p.directors.div_ceil(p.voters) - o.again.len();
+            put(
+                "cut director",
+                "part of the time in which it may begin, mean",
+                "of 1",
+                mean(&o.cut_begin_fractions),
+            );
+            put("cut director", "healed: may begin again, median", "s", quantile(&o.recovery_times, 0.5));
+            put("cut director", "healed: may begin again, most", "s", quantile(&o.recovery_times, 1.0));
+            let missing = p.directors.div_ceil(p.voters) - o.recovery_times.len();
             put("cut director", "healed: not beginning by the end", "directors", Some(missing as f64));
-            put("cut director", "healed: bytes in 10 s", "B", Some(o.healing));
-            put("director", "healed: bytes in 10 s", "B", Some(o.beside));
+            put("cut director", "healed: bytes in 10 s", "B", Some(o.healing_bytes));
+            put("director", "healed: bytes in 10 s", "B", Some(o.uncut_bytes));
         }
     }
 }
@@ -329,8 +353,16 @@
     for rate in PROCESS_RATES {
         let document = PROCESS_DOCUMENT;
         let span = span.min(of.span);
-        let plan =
-            Plan { seed: 1, directors, voters, contradiction, rate, span, document, ..Plan::default() };
+        let plan = SimulationPlan {
+            seed: 1,
+            directors,
+            voters,
+            contradiction,
+            rate,
+            span,
+            document,
+            ..SimulationPlan::default()
+        };
         let cell = Run { kind: Kind::Processes, plan: plan.clone() };
         let left = until.saturating_duration_since(Instant::now()).as_secs_f64();
         let outcome = if left < 2.0 * span { Outcome::default() } else { on_process(plan, &program).await? };
@@ -342,17 +374,17 @@
 /// What operators know of each other's proposals, and what came of them.
 struct Desk {
     voters: Voters,
-    hollows: hollow::Hollows,
+    hollows: hollow::HollowDirectors,
     newest: Cell<u64>,
     out: RefCell<Outcome>,
-    plan: Plan,
+    plan: SimulationPlan,
 }
 
-async fn on_process(plan: Plan, program: &Path) -> Result<Outcome> {
+async fn on_process(plan: SimulationPlan, program: &Path) -> Result<Outcome> {
     let voters = Voters::start(program, plan.voters).await?;
     voters.agree_first(plan.document, plan.contradiction).await?;
-    hollow::on_thread(move || async move {
-        let spec = Spec {
+    hollow::run_on_thread(move || async move {
+        let spec = HollowSpec {
             fleet: FLEET.to_owned(),
             voters: voters.at.clone(),
             first: 0,
@@ -361,7 +393,7 @@
         };
         let hollows = hollow::start(spec);
         let come = Instant::now() + COME;
-        while hollows.look().begin < plan.directors && Instant::now() < come {
+        while hollows.stats().begin < plan.directors && Instant::now() < come {
             sleep(LOOK).await;
         }
         let out = RefCell::new(Outcome::default());
@@ -369,8 +401,8 @@
         let plan = &desk.plan;
         let from = desk.hollows.now();
         let to = from + plan.span;
-        desk.hollows.board(|b| b.span(from, to));
-        desk.hollows.mark();
+        desk.hollows.with_tracker(|b| b.set_span(from, to));
+        desk.hollows.reset_stats();
         let mut rng = Rng::with_seed(plan.seed);
         let mut operators = JoinSet::new();
         let mut change = 0;
@@ -384,27 +416,28 @@
             change += 1;
             operators.spawn_local(operate(desk.clone(), change));
         }
-        let seen = desk.hollows.look();
+        let seen = desk.hollows.stats();
         let measured = desk.hollows.now() - from;
-        let parts = desk.hollows.board(|b| b.parts(to, |_| true));
+        let parts = desk.hollows.with_tracker(|b| b.begin_fractions(to, |_| true));
         while operators.join_next().await.is_some() {}
         // The last change comes to be in force.
         let calm = Instant::now() + Duration::from_secs_f64(2.0 * plan.contradiction + 2.0);
-        let all_in_force = || desk.hollows.board(|b| b.proposed(from, to).all(|v| v.force_at.is_some()));
+        let all_in_force =
+            || desk.hollows.with_tracker(|b| b.proposed_between(from, to).all(|v| v.force_at.is_some()));
         while !all_in_force() && Instant::now() < calm {
             sleep(LOOK).await;
         }
         let mut out = desk.out.take();
         let n = plan.directors as f64;
         out.events = 1;
-        (out.measured, out.parts) = (measured, parts);
+        (out.measured, out.begin_fractions) = (measured, parts);
         let bytes: u64 = seen.voters.iter().map(|v| v.bytes.0 + v.bytes.1).sum();
         let words: u64 = seen.voters.iter().map(|v| v.words.0 + v.words.1).sum();
         let asked: u64 = seen.voters.iter().map(|v| v.asked).sum();
-        (out.bytes, out.words) = (bytes as f64 / n / seen.seconds, words as f64 / n / seen.seconds);
+        (out.bytes, out.messages) = (bytes as f64 / n / seen.seconds, words as f64 / n / seen.seconds);
         out.questions = asked as f64 / plan.voters as f64 / seen.seconds;
         out.refused = seen.refused;
-        desk.hollows.board(|b| out.versions(b, from, to));
+        desk.hollows.with_tracker(|b| out.versions(b, from, to));
         Ok(out)
     })
     .await
@@ -423,17 +456,17 @@
             Ok(VoterResponse::Agreed { number }) => {
                 desk.newest.set(desk.newest.get().max(number));
                 let now = desk.hollows.now();
-                desk.out.borrow_mut().decided.push(now - first);
-                desk.hollows.board(|b| b.agreed(number, first, now));
+                desk.out.borrow_mut().decision_times.push(now - first);
+                desk.hollows.with_tracker(|b| b.record_agreed(number, first, now));
                 return;
             }
             Ok(VoterResponse::Lost { newest, .. }) => {
-                desk.out.borrow_mut().lost += 1;
+                desk.out.borrow_mut().proposals_lost += 1;
                 desk.newest.set(desk.newest.get().max(newest));
                 (after, id, at) = (newest, fastrand::u64(..), 0);
             }
             other => {
-                desk.out.borrow_mut().busy += 1;
+                desk.out.borrow_mut().proposals_not_taken += 1;
                 why = match other {
                     Ok(tell) => format!("{tell:?}"),
                     Err(e) => format!("{e:#}"),
--- a/crates/kelpdoor-lab/src/scale/fit.rs
+++ b/crates/kelpdoor-lab/src/scale/fit.rs
@@ -18,7 +18,7 @@
 
 /// A least-squares line `a + b·x`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct LinearFit {
     pub a: f64,
     pub b: f64,
     /// 95% intervals; none with under three points.
@@ -60,9 +60,9 @@
     Some((b, student(of.len().saturating_sub(2)).map(|t| (b - t * error, b + t * error))))
 }
 
-impl Line {
+impl LinearFit {
     /// Through the points of one series; `None` where there are not two sizes.
-    pub fn of(points: &[(f64, f64, u64)]) -> Option<Line> {
+    pub fn fit(points: &[(f64, f64, u64)]) -> Option<LinearFit> {
         let xy: Vec<(f64, f64)> = points.iter().map(|p| (p.0, p.1)).collect();
         let (b, b_within) = slope(&xy)?;
         let n = xy.len();
@@ -77,7 +77,7 @@
         let mut seeds: Vec<u64> = points.iter().map(|p| p.2).collect();
         seeds.sort_unstable();
         seeds.dedup();
-        let mut line = Line {
+        let mut line = LinearFit {
             a,
             b,
             a_within: None,
@@ -91,28 +91,28 @@
             spread,
             points: n,
         };
-        line.a_within = line.within(0.0);
+        line.a_within = line.interval_at(0.0);
         if !line.too_few {
             line.bends = bow(&xy, &line).or_else(|| halves(&xy, &sizes));
         }
         Some(line)
     }
 
-    pub fn at(&self, x: f64) -> f64 {
+    pub fn value_at(&self, x: f64) -> f64 {
         self.a + self.b * x
     }
 
     /// 95% interval of the line there.
-    pub fn within(&self, x: f64) -> Option<(f64, f64)> {
+    pub fn interval_at(&self, x: f64) -> Option<(f64, f64)> {
         let t = student(self.points.saturating_sub(2))?;
         let away = 1.0 / self.points as f64 + (x - self.mean).powi(2) / self.spread;
         let error = t * self.residual * away.sqrt();
-        Some((self.at(x) - error, self.at(x) + error))
+        Some((self.value_at(x) - error, self.value_at(x) + error))
     }
 }
 
 /// A square term whose interval leaves out 0, and which is not too small to matter.
-fn bow(xy: &[(f64, f64)], line: &Line) -> Option<String> {
+fn bow(xy: &[(f64, f64)], line: &LinearFit) -> Option<String> {
     let scale = xy.iter().map(|p| (p.0 - line.mean).abs()).fold(0.0, f64::max);
     // The square, less what a line can say of it.
     let us: Vec<f64> = xy.iter().map(|p| (p.0 - line.mean) / scale).collect();
@@ -124,7 +124,7 @@
     if spread <= 1e-12 {
         return None;
     }
-    let left: Vec<f64> = xy.iter().map(|p| p.1 - line.at(p.0)).collect();
+    let left: Vec<f64> = xy.iter().map(|p| p.1 - line.value_at(p.0)).collect();
     let term = rest.iter().zip(&left).map(|(q, e)| q * e).sum::<f64>() / spread;
     let sum: f64 = rest.iter().zip(&left).map(|(q, e)| (e - term * q).powi(2)).sum();
     let freedom = xy.len().saturating_sub(3);
@@ -162,7 +162,7 @@
     pub version: String,
     #[serde(default)]
     pub note: String,
-    pub line: Option<Line>,
+    pub line: Option<LinearFit>,
     /// Size, figure, seed.
     pub points: Vec<(f64, f64, u64)>,
 }
@@ -181,7 +181,7 @@
     }
 
     /// The least and the most of the seeds at a size.
-    pub fn spread(&self, x: f64) -> (f64, f64) {
+    pub fn range(&self, x: f64) -> (f64, f64) {
         let at = self.points.iter().filter(|p| p.0 == x);
         at.fold((f64::INFINITY, f64::NEG_INFINITY), |(low, high), p| (low.min(p.1), high.max(p.1)))
     }
@@ -199,7 +199,7 @@
 }
 
 impl Machine {
-    fn this() -> Machine {
+    fn current() -> Machine {
         let read = |path: &str| std::fs::read_to_string(path).unwrap_or_default();
         let line = |text: &str, name: &str| {
             let value = text.lines().find(|l| l.starts_with(name)).and_then(|l| l.split_once(':'));
@@ -210,7 +210,7 @@
             cores: std::thread::available_parallelism().map_or(0, usize::from),
             memory: kb.trim_end_matches(" kB").parse::<f64>().unwrap_or(0.0) * 1024.0,
             processor: line(&read("/proc/cpuinfo"), "model name"),
-            descriptors: super::process::most_descriptors().unwrap_or(0),
+            descriptors: super::process::max_descriptors().unwrap_or(0),
         }
     }
 }
@@ -218,7 +218,7 @@
 /// All that was measured, as `docs/capacity.json` keeps it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Book {
+pub struct CapacityData {
     /// Of the last measurement in it.
     pub version: String,
     pub date: String,
@@ -246,27 +246,27 @@
     }
     for s in &mut all {
         s.points.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.2.cmp(&b.2)));
-        s.line = Line::of(&s.points);
+        s.line = LinearFit::fit(&s.points);
     }
     all
 }
 
-impl Book {
-    pub fn new(of: &Points, note: &str) -> Book {
+impl CapacityData {
+    pub fn new(of: &Points, note: &str) -> CapacityData {
         let date = Timestamp::now().strftime("%Y-%m-%d").to_string();
-        Book {
+        CapacityData {
             version: env!("CARGO_PKG_VERSION").to_owned(),
             series: series(&of.points, &date, note),
             date,
             note: note.to_owned(),
-            machine: Machine::this(),
+            machine: Machine::current(),
             partial: of.partial.clone(),
         }
     }
 
     /// Takes in a later measurement: its series stand for those of the same name, the others stay.
-    pub fn take(&mut self, later: Book) {
-        let Book { version, date, note, machine, partial, series } = later;
+    pub fn merge(&mut self, later: CapacityData) {
+        let CapacityData { version, date, note, machine, partial, series } = later;
         (self.version, self.date, self.note, self.machine) = (version, date, note, machine);
         for new in series {
             match self.series.iter_mut().find(|old| old.key() == new.key()) {
@@ -281,7 +281,7 @@
 
     /// # Errors
     /// Where the file cannot be read, or is no such file.
-    pub fn read(from: &Path) -> Result<Book> {
+    pub fn read(from: &Path) -> Result<CapacityData> {
         let text = std::fs::read(from).with_context(|| from.display().to_string())?;
         serde_json::from_slice(&text).with_context(|| from.display().to_string())
     }
@@ -292,7 +292,7 @@
 /// # Errors
 /// Where the file cannot be written.
 pub fn write(to: &Path, of: &Points, note: &str) -> Result<()> {
-    put(to, &Book::new(of, note))
+    put(to, &CapacityData::new(of, note))
 }
 
 /// Adds to what the file has.
@@ -300,12 +300,12 @@
 /// # Errors
 /// Where the file cannot be read or written.
 pub fn add(to: &Path, of: &Points, note: &str) -> Result<()> {
-    let mut book = if to.exists() { Book::read(to)? } else { Book::default() };
-    book.take(Book::new(of, note));
+    let mut book = if to.exists() { CapacityData::read(to)? } else { CapacityData::default() };
+    book.merge(CapacityData::new(of, note));
     put(to, &book)
 }
 
-fn put(to: &Path, book: &Book) -> Result<()> {
+fn put(to: &Path, book: &CapacityData) -> Result<()> {
     let mut text = serde_json::to_string_pretty(book)?;
     text.push('\n');
     std::fs::write(to, text).with_context(|| to.display().to_string())
--- a/crates/kelpdoor-lab/src/scale/follow.rs
+++ b/crates/kelpdoor-lab/src/scale/follower.rs
@@ -21,7 +21,7 @@
 }
 
 /// The first line of a document: what is read of it here.
-pub fn head(contradiction: f64, voters: usize) -> String {
+pub fn document_header(contradiction: f64, voters: usize) -> String {
     let by: Vec<String> = (0..voters).map(|v| v.to_string()).collect();
     format!("# contradiction {contradiction} by {}\n", by.join(" "))
 }
@@ -69,7 +69,7 @@
 
 /// What a follower acts on, in its own time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Acts {
+pub struct ActiveSpan {
     pub newest: u64,
     /// Of those that stand beside it, or itself.
     pub oldest: u64,
@@ -78,26 +78,26 @@
 }
 
 /// What it acts on, if it knows a version.
-pub fn acts(of: &Follower, now: f64) -> Option<Acts> {
+pub fn active_span(of: &Follower, now: f64) -> Option<ActiveSpan> {
     let a = of.active_versions(now)?;
     let newest = a.version.number;
     let oldest = a.oldest();
-    Some(Acts { newest, oldest, from: a.from, until: a.until })
+    Some(ActiveSpan { newest, oldest, from: a.from, until: a.until })
 }
 
 /// Whether it may begin sessions now.
 pub fn may_begin(of: &Follower, now: f64) -> bool {
-    acts(of, now).is_some_and(|a| a.from <= now && now < a.until)
+    active_span(of, now).is_some_and(|a| a.from <= now && now < a.until)
 }
 
 /// Whether it may begin sessions now, with nothing older beside the newest version that it knows.
 pub fn alone(of: &Follower, now: f64) -> bool {
-    acts(of, now).is_some_and(|a| a.from <= now && now < a.until && a.oldest == a.newest)
+    active_span(of, now).is_some_and(|a| a.from <= now && now < a.until && a.oldest == a.newest)
 }
 
 /// A director, as a board sees it. Times are those of the board.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seat {
+struct DirectorState {
     known: u64,
     /// Newest and oldest acted on, from when until when; nothing known: until 0.
     newest: u64,
@@ -128,8 +128,8 @@
 }
 
 /// Who knew and acted on what, and when: of all directors of a run.
-pub struct Board {
-    seats: Vec<Seat>,
+pub struct VersionTracker {
+    seats: Vec<DirectorState>,
     versions: Vec<Version>,
     /// Where the part of the time is counted.
     span: (f64, f64),
@@ -146,12 +146,19 @@
     pub mixed: f64,
 }
 
-impl Board {
+impl VersionTracker {
     /// Everywhere is at those whom `counts` names.
     pub fn new(directors: usize, counts: impl Fn(usize) -> bool) -> Self {
         let counts: Vec<bool> = (0..directors).map(counts).collect();
-        Board {
-            seats: vec![Seat { from: f64::INFINITY, until: f64::NEG_INFINITY, ..Seat::default() }; directors],
+        VersionTracker {
+            seats: vec![
+                DirectorState {
+                    from: f64::INFINITY,
+                    until: f64::NEG_INFINITY,
+                    ..DirectorState::default()
+                };
+                directors
+            ],
             versions: Vec::new(),
             span: (f64::INFINITY, f64::INFINITY),
             mark: f64::INFINITY,
@@ -165,13 +172,13 @@
     }
 
     /// Counts the part of the time from here to there.
-    pub fn span(&mut self, from: f64, to: f64) {
+    pub fn set_span(&mut self, from: f64, to: f64) {
         self.span = (from, to);
         self.seats.iter_mut().for_each(|s| s.begun = 0.0);
     }
 
     /// Counts who may begin again from here on.
-    pub fn mark(&mut self, at: f64) {
+    pub fn set_mark(&mut self, at: f64) {
         self.mark = at;
         self.seats.iter_mut().for_each(|s| s.again = None);
     }
@@ -187,7 +194,7 @@
     }
 
     /// A proposal that was made then came to be that version.
-    pub fn agreed(&mut self, number: u64, proposed: f64, at: f64) {
+    pub fn record_agreed(&mut self, number: u64, proposed: f64, at: f64) {
         if let Some(v) = self.version(number) {
             v.proposed = Some(proposed);
             v.agreed = Some(at);
@@ -195,10 +202,10 @@
     }
 
     /// A director as it is at `t`; `scale` makes its own time the board's. To be called after whatever changes it.
-    pub fn look(&mut self, t: f64, d: usize, of: &Follower, now: f64, scale: impl Fn(f64) -> f64) {
-        self.passed(t, d);
+    pub fn observe(&mut self, t: f64, d: usize, of: &Follower, now: f64, scale: impl Fn(f64) -> f64) {
+        self.advance(t, d);
         let (all, counts) = (self.everywhere, usize::from(self.counts.get(d) == Some(&true)));
-        let (known, acts) = (newest(of), acts(of, now));
+        let (known, acts) = (newest(of), active_span(of, now));
         let Some(seat) = self.seats.get_mut(d) else { return };
         let (knew, forced) = (seat.known, seat.force);
         seat.known = known;
@@ -237,7 +244,7 @@
     }
 
     /// Time passes to `t` for a director that did nothing since it was looked at.
-    fn passed(&mut self, t: f64, d: usize) {
+    fn advance(&mut self, t: f64, d: usize) {
         let Some(seat) = self.seats.get_mut(d) else { return };
         let (from, to) = (seat.from.max(seat.looked), seat.until.min(t));
         seat.looked = t;
@@ -252,36 +259,36 @@
     }
 
     /// The part of the span, up to `t`, in which each director of these might begin sessions.
-    pub fn parts(&mut self, t: f64, of: impl Fn(usize) -> bool) -> Vec<f64> {
+    pub fn begin_fractions(&mut self, t: f64, of: impl Fn(usize) -> bool) -> Vec<f64> {
         let length = t.min(self.span.1) - self.span.0;
         let all: Vec<usize> = (0..self.seats.len()).filter(|d| of(*d)).collect();
         all.into_iter()
             .map(|d| {
-                self.passed(t, d);
+                self.advance(t, d);
                 if length > 0.0 { self.seats[d].begun / length } else { 0.0 }
             })
             .collect()
     }
 
     /// s from the mark until each of these may begin; of those that may.
-    pub fn again(&self, of: impl Fn(usize) -> bool) -> Vec<f64> {
+    pub fn recovery_times(&self, of: impl Fn(usize) -> bool) -> Vec<f64> {
         let seats = self.seats.iter().enumerate().filter(|(d, _)| of(*d));
         seats.filter_map(|(_, s)| Some(s.again? - self.mark)).collect()
     }
 
     /// Versions that were proposed from here to there.
-    pub fn proposed(&self, from: f64, to: f64) -> impl Iterator<Item = &Version> {
+    pub fn proposed_between(&self, from: f64, to: f64) -> impl Iterator<Item = &Version> {
         self.versions.iter().filter(move |v| v.proposed.is_some_and(|at| from <= at && at < to))
     }
 }
 
 /// Whether an answer brings no more than leave to go on: no document, and nothing of one.
-pub fn plain(of: &VoterResponse) -> bool {
+pub fn is_plain_grant(of: &VoterResponse) -> bool {
     matches!(of, VoterResponse::Granted { document: None, chain, .. } if chain.is_empty())
 }
 
 /// The questions that are due: asked for only then, as each call names what is acted on, with its sums.
-pub fn asks(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
+pub fn due_requests(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
     let at = of.next_request_at();
     if at > now && at < f64::INFINITY {
         return Vec::new();
@@ -290,7 +297,7 @@
 }
 
 /// What a real director's loop does of this each time it looks at its voters.
-pub fn as_a_director(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
+pub fn poll_like_director(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
     let all = (0..voters as u8).map(VoterId).filter_map(|v| Some((v, of.next_request(now, v)?))).collect();
     std::hint::black_box(of.active_versions(now).map(|a| a.label()));
     all
--- a/crates/kelpdoor-lab/src/scale/hollow.rs
+++ b/crates/kelpdoor-lab/src/scale/hollow.rs
@@ -16,7 +16,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-use super::follow::{self, Board, Follower};
+use super::follower::{self, Follower, VersionTracker};
 
 // As the lines of a real director have it.
 /// s; wait before a voter is connected again, at first and at most.
@@ -36,7 +36,7 @@
 
 /// What directors of a process are to be.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Spec {
+pub struct HollowSpec {
     pub fleet: String,
     pub voters: Vec<SocketAddr>,
     /// Number of the first, and how many.
@@ -48,7 +48,7 @@
 
 /// Of one voter, at the sockets of its directors, since the mark.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct SeenVoter {
+pub struct VoterStats {
     pub asked: u64,
     pub granted: u64,
     pub refused: u64,
@@ -66,23 +66,23 @@
 
 /// What was seen of all since the mark.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct HollowStats {
     pub seconds: f64,
     pub directors: usize,
     /// May begin sessions now.
     pub begin: usize,
-    pub voters: Vec<SeenVoter>,
+    pub voters: Vec<VoterStats>,
     pub refused: BTreeMap<String, u64>,
 }
 
 /// Adds up what was seen in several processes.
-pub fn together(all: &[Seen]) -> Seen {
-    let mut sum = Seen::default();
+pub fn merge_stats(all: &[HollowStats]) -> HollowStats {
+    let mut sum = HollowStats::default();
     for s in all {
         sum.seconds = sum.seconds.max(s.seconds);
         sum.directors += s.directors;
         sum.begin += s.begin;
-        sum.voters.resize(sum.voters.len().max(s.voters.len()), SeenVoter::default());
+        sum.voters.resize(sum.voters.len().max(s.voters.len()), VoterStats::default());
         for (to, v) in sum.voters.iter_mut().zip(&s.voters) {
             to.asked += v.asked;
             to.granted += v.granted;
@@ -102,31 +102,31 @@
 }
 
 /// Times in s as a histogram of µs holds them.
-pub fn times() -> Histogram<u64> {
+pub fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, LONGEST * 1_000_000, 3).expect("sound bounds")
 }
 
 #[derive(Default)]
 struct Tally {
-    seen: SeenVoter,
+    seen: VoterStats,
     answers: Option<Histogram<u64>>,
     firsts: Option<Histogram<u64>>,
 }
 
 /// All directors of a process.
 struct Group {
-    spec: Spec,
+    spec: HollowSpec,
     began: Instant,
     mark: Cell<Instant>,
     marks: Cell<u64>,
     tally: RefCell<Vec<Tally>>,
     refused: RefCell<BTreeMap<String, u64>>,
-    board: RefCell<Board>,
+    tracker: RefCell<VersionTracker>,
     chunk: RefCell<Vec<u8>>,
 }
 
 /// A director's connection to a voter.
-struct Way {
+struct VoterConnection {
     stream: Option<Rc<TcpStream>>,
     welcome: bool,
     /// The question out.
@@ -136,22 +136,22 @@
     answered: u64,
 }
 
-struct Hollow {
+struct HollowDirector {
     /// Among those of its process.
     place: usize,
     group: Rc<Group>,
     follower: RefCell<Follower>,
-    ways: RefCell<Vec<Way>>,
+    ways: RefCell<Vec<VoterConnection>>,
 }
 
 /// Directors at work, on the thread that started them.
-pub struct Hollows {
+pub struct HollowDirectors {
     group: Rc<Group>,
-    all: Vec<Rc<Hollow>>,
+    all: Vec<Rc<HollowDirector>>,
 }
 
 /// Starts them, on a local set.
-pub fn start(spec: Spec) -> Hollows {
+pub fn start(spec: HollowSpec) -> HollowDirectors {
     let (n, voters, now) = (spec.directors, spec.voters.len(), Instant::now());
     let group = Rc::new(Group {
         began: now,
@@ -159,18 +159,18 @@
         marks: Cell::new(1),
         tally: RefCell::new((0..voters).map(|_| Tally::default()).collect()),
         refused: RefCell::default(),
-        board: RefCell::new(Board::new(n, |_| true)),
+        tracker: RefCell::new(VersionTracker::new(n, |_| true)),
         chunk: RefCell::new(vec![0; CHUNK]),
         spec,
     });
-    let way = || Way { stream: None, welcome: false, sent: None, asked: now, answered: 0 };
-    let all: Vec<Rc<Hollow>> = (0..n)
+    let way = || VoterConnection { stream: None, welcome: false, sent: None, asked: now, answered: 0 };
+    let all: Vec<Rc<HollowDirector>> = (0..n)
         .map(|place| {
             let name = format!("hollow-{:05}", group.spec.first + place);
-            let hollow = Rc::new(Hollow {
+            let hollow = Rc::new(HollowDirector {
                 place,
                 group: group.clone(),
-                follower: RefCell::new(follow::follower(&name, fastrand::u64(..))),
+                follower: RefCell::new(follower::follower(&name, fastrand::u64(..))),
                 ways: RefCell::new((0..voters).map(|_| way()).collect()),
             });
             let first = group.spec.within * place as f64 / n as f64;
@@ -181,35 +181,35 @@
             hollow
         })
         .collect();
-    Hollows { group, all }
+    HollowDirectors { group, all }
 }
 
-impl Hollows {
+impl HollowDirectors {
     /// s since their start.
     pub fn now(&self) -> f64 {
         self.group.now()
     }
 
     /// Who knew and acted on what, times since their start.
-    pub fn board<T>(&self, with: impl FnOnce(&mut Board) -> T) -> T {
-        with(&mut self.group.board.borrow_mut())
+    pub fn with_tracker<T>(&self, with: impl FnOnce(&mut VersionTracker) -> T) -> T {
+        with(&mut self.group.tracker.borrow_mut())
     }
 
     /// What was seen since the mark.
-    pub fn look(&self) -> Seen {
+    pub fn stats(&self) -> HollowStats {
         let now = self.group.now();
-        let begin = self.all.iter().filter(|h| follow::may_begin(&h.follower.borrow(), now)).count();
+        let begin = self.all.iter().filter(|h| follower::may_begin(&h.follower.borrow(), now)).count();
         let flat = |h: &Option<Histogram<u64>>| -> Vec<(u64, u64)> {
             let all = h.iter().flat_map(|h| h.iter_recorded());
             all.map(|i| (i.value_iterated_to(), i.count_since_last_iteration())).collect()
         };
-        let of = |(v, t): (usize, &Tally)| SeenVoter {
+        let of = |(v, t): (usize, &Tally)| VoterStats {
             answers: flat(&t.answers),
             firsts: flat(&t.firsts),
             connected: self.all.iter().filter(|h| h.ways.borrow()[v].welcome).count() as u64,
             ..t.seen.clone()
         };
-        Seen {
+        HollowStats {
             seconds: self.group.mark.get().elapsed().as_secs_f64(),
             directors: self.all.len(),
             begin,
@@ -219,7 +219,7 @@
     }
 
     /// Counts anew.
-    pub fn mark(&self) {
+    pub fn reset_stats(&self) {
         self.group.mark.set(Instant::now());
         self.group.marks.set(self.group.marks.get() + 1);
         self.group.tally.borrow_mut().iter_mut().for_each(|t| *t = Tally::default());
@@ -239,7 +239,7 @@
     }
 }
 
-impl Hollow {
+impl HollowDirector {
     /// Looks at what is due, as a real director does.
     async fn live(self: Rc<Self>, first: f64) {
         sleep(Duration::from_secs_f64(first)).await;
@@ -259,14 +259,14 @@
     fn step(&self) {
         let now = self.group.now();
         let mut f = self.follower.borrow_mut();
-        for (voter, ask) in follow::asks(&mut f, now, self.group.spec.voters.len()) {
+        for (voter, ask) in follower::due_requests(&mut f, now, self.group.spec.voters.len()) {
             self.send(usize::from(voter.0), &ask);
         }
-        self.group.board.borrow_mut().look(now, self.place, &f, now, |own| own);
+        self.group.tracker.borrow_mut().observe(now, self.place, &f, now, |own| own);
     }
 
     fn ping(&self) {
-        let quiet = |w: &Way| w.welcome && w.asked.elapsed() >= PING;
+        let quiet = |w: &VoterConnection| w.welcome && w.asked.elapsed() >= PING;
         let all: Vec<usize> =
             self.ways.borrow().iter().enumerate().filter(|(_, w)| quiet(w)).map(|(v, _)| v).collect();
         all.into_iter().for_each(|v| self.send(v, &ClientRequest::Ping));
@@ -406,10 +406,10 @@
         self.group.count(v, |t| {
             *if granted { &mut t.seen.granted } else { &mut t.seen.refused } += 1;
             if let Some(took) = took {
-                t.answers.get_or_insert_with(times).saturating_record(took);
+                t.answers.get_or_insert_with(latency_histogram).saturating_record(took);
             }
             if first {
-                t.firsts.get_or_insert_with(times).saturating_record(since);
+                t.firsts.get_or_insert_with(latency_histogram).saturating_record(since);
             }
         });
         if let VoterResponse::Refused { why, .. } = tell {
@@ -425,7 +425,7 @@
 ///
 /// # Errors
 /// Where the thread cannot be started, or what it ran failed.
-pub async fn on_thread<T: Send + 'static, F: Future<Output = Result<T>>>(
+pub async fn run_on_thread<T: Send + 'static, F: Future<Output = Result<T>>>(
     what: impl FnOnce() -> F + Send + 'static,
 ) -> Result<T> {
     let run = move || -> Result<T> {
@@ -440,16 +440,16 @@
 ///
 /// # Errors
 /// Where a line is neither.
-pub async fn work() -> Result<()> {
-    on_thread(|| async {
+pub async fn run_process() -> Result<()> {
+    run_on_thread(|| async {
         let mut lines = BufReader::new(tokio::io::stdin()).lines();
         let first = lines.next_line().await?.context("no first line")?;
         let hollows = start(serde_json::from_str(&first).context("the first line")?);
         while let Some(line) = lines.next_line().await? {
-            let seen = hollows.look();
+            let seen = hollows.stats();
             match line.as_str() {
                 "look" => {}
-                "mark" => hollows.mark(),
+                "mark" => hollows.reset_stats(),
                 other => anyhow::bail!("neither look nor mark: {other:?}"),
             }
             println!("{}", serde_json::to_string(&seen)?);
--- a/crates/kelpdoor-lab/src/scale/plan.rs
+++ b/crates/kelpdoor-lab/src/scale/plan.rs
@@ -1,19 +1,19 @@
 //! A fleet's page, worked out from what was measured.
 
 mod events;
+mod formatting;
 mod limits;
 mod roles;
-mod show;
-mod words;
+mod terms;
 
 use std::path::PathBuf;
 
 use anyhow::{Context, Result, anyhow, bail};
 use clap::Args;
 
-use super::fit::{Book, Line, Series};
-use super::target::Aim;
-pub use limits::{doubt, meets};
+use super::fit::{CapacityData, LinearFit, Series};
+use super::target::FleetTarget;
+pub use limits::{crossing, uncertainty};
 
 /// Before what a page has from here, with its name, and after it.
 const BEGINS: &str = "<!-- worked out by kelpdoor-lab scale plan: ";
@@ -35,9 +35,9 @@
 /// # Errors
 /// Where the target, what was measured, or the page does not read.
 pub fn run(of: &Options) -> Result<()> {
-    let aim = Aim::read(&of.target)
+    let target = FleetTarget::read(&of.target)
         .map_err(|f| anyhow!(f.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")))?;
-    let parts = parts(&aim, &Book::read(&of.measured)?);
+    let parts = sections(&target, &CapacityData::read(&of.measured)?);
     let Some(page) = &of.page else {
         for (name, text) in parts {
             println!("## {name}\n\n{text}");
@@ -46,18 +46,18 @@
     };
     let see = || page.display().to_string();
     let text = std::fs::read_to_string(page).with_context(see)?;
-    let text = renew(&text, &parts).with_context(see)?;
+    let text = replace_sections(&text, &parts).with_context(see)?;
     std::fs::write(page, text).with_context(see)
 }
 
 /// The page's worked-out parts, by name.
-pub fn parts(aim: &Aim, book: &Book) -> Vec<(&'static str, String)> {
+pub fn sections(target: &FleetTarget, book: &CapacityData) -> Vec<(&'static str, String)> {
     vec![
-        ("words", words::table(aim)),
-        ("roles", roles::table(aim, book)),
-        ("events", events::table(aim)),
-        ("order", limits::table(aim, book)),
-        ("missing", roles::missing(aim, book)),
+        ("words", terms::table(target)),
+        ("roles", roles::table(target, book)),
+        ("events", events::table(target)),
+        ("order", limits::table(target, book)),
+        ("missing", roles::missing(target, book)),
     ]
 }
 
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 /// Where a marker is not ended, or a part has no place or none has its name.
-pub fn renew(page: &str, parts: &[(&str, String)]) -> Result<String> {
+pub fn replace_sections(page: &str, parts: &[(&str, String)]) -> Result<String> {
     let (mut out, mut rest, mut seen) = (String::new(), page, Vec::new());
     while let Some((before, after)) = rest.split_once(BEGINS) {
         let line = page[..page.len() - after.len()].lines().count();
@@ -94,10 +94,10 @@
 }
 
 /// The upper half of the sizes, where the whole is no line.
-fn upper(of: &Series) -> Option<Line> {
+fn upper(of: &Series) -> Option<LinearFit> {
     let sizes = of.medians();
     let from = sizes.get(sizes.len() / 2)?.0;
-    Line::of(&of.points.iter().copied().filter(|p| p.0 >= from).collect::<Vec<_>>())
+    LinearFit::fit(&of.points.iter().copied().filter(|p| p.0 >= from).collect::<Vec<_>>())
 }
 
 /// Between the medians of two sizes that were measured.
@@ -111,7 +111,7 @@
     let sizes = of.medians();
     let last = sizes.last()?.0;
     if let Some((at, y)) = sizes.iter().find(|s| (s.0 - x).abs() <= 0.005 * x) {
-        let (low, high) = of.spread(*at);
+        let (low, high) = of.range(*at);
         let seeds = of.points.iter().filter(|p| p.0 == *at).count();
         let within = (low < high).then_some((low, high));
         let how = if seeds > 1 {
@@ -132,12 +132,12 @@
         None => (line.clone(), "worked out".to_owned()),
     };
     if x > last {
-        how += &format!(", at {} times the largest size", show::number(x / last));
+        how += &format!(", at {} times the largest size", formatting::number(x / last));
     }
     if line.too_few && of.line.as_ref().is_some_and(|l| l.too_few) {
         how += ", too few sizes to see a bend";
     }
     let of_1 = of.unit == "of 1";
-    let y = if of_1 { line.at(x).clamp(0.0, 1.0) } else { line.at(x) };
-    Some(Worked { y, within: line.within(x).filter(|_| !of_1), how })
+    let y = if of_1 { line.value_at(x).clamp(0.0, 1.0) } else { line.value_at(x) };
+    Some(Worked { y, within: line.interval_at(x).filter(|_| !of_1), how })
 }
--- a/crates/kelpdoor-lab/src/scale/plan/events.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/events.rs
@@ -2,8 +2,8 @@
 
 use kelpdoor_agreement::{RENEWALS_PER_LEASE, lease_duration};
 
-use super::show::{figure, number, table as show};
-use crate::scale::target::{Aim, DAY};
+use super::formatting::{figure, number, table as show};
+use crate::scale::target::{FleetTarget, SECONDS_PER_DAY};
 
 struct Event {
     what: String,
@@ -13,10 +13,10 @@
     bound: &'static str,
 }
 
-fn events(aim: &Aim) -> Vec<Event> {
-    let (t, f, a) = (&aim.target, &aim.faults, &aim.assume);
-    let held = aim.held();
-    let each = |per_day: f64| format!("one each {}", figure(DAY / per_day, "s"));
+fn events(target: &FleetTarget) -> Vec<Event> {
+    let (t, f, a) = (&target.target, &target.faults, &target.assume);
+    let held = target.sessions_per_director();
+    let each = |per_day: f64| format!("one each {}", figure(SECONDS_PER_DAY / per_day, "s"));
     let zone = t.directors / t.zones;
     let racks = a.directors_a_rack.min(t.directors);
     // Viewers of directors lost, on those that are left.
@@ -24,7 +24,7 @@
     let alone = held / a.setups_a_second;
     let questions = t.directors * RENEWALS_PER_LEASE / lease_duration(a.contradiction);
     let region = t.directors / t.regions;
-    let versions = aim.changes() * f.region_cut;
+    let versions = target.changes_per_second() * f.region_cut;
     let setups = |viewers: f64| figure(viewers / a.setups_a_second, "s");
     let spread = "the session API's `come_back`, `players(sockets, sessions)`, the slots of SETUPs at nodes";
     vec![
@@ -41,7 +41,7 @@
                 setups(held / (zone - 1.0).max(1.0)),
                 figure(alone, "s"),
                 number(a.setups_a_second),
-                number(f.restarted_a_day / DAY * alone)
+                number(f.restarted_a_day / SECONDS_PER_DAY * alone)
             ),
             bound: spread,
         },
@@ -117,8 +117,8 @@
     ]
 }
 
-pub fn table(aim: &Aim) -> String {
-    let rows: Vec<Vec<String>> = events(aim)
+pub fn table(target: &FleetTarget) -> String {
+    let rows: Vec<Vec<String>> = events(target)
         .into_iter()
         .map(|e| vec![e.what, e.often, e.piles, e.lasts, e.bound.to_owned()])
         .collect();
--- a/crates/kelpdoor-lab/src/scale/plan/limits.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/limits.rs
@@ -5,11 +5,11 @@
 use kelpdoor_keeper::{CONNS, DIRECTORS};
 use kelpdoor_script::{MAX_CONTRADICTION, MAX_DIRECTORS, MAX_NUMBERED_DIRECTORS, MAX_ZONES, Players};
 
+use super::formatting::{figure, number, table as show};
 use super::roles::{Against, ROWS, named};
-use super::show::{figure, number, table as show};
 use super::upper;
-use crate::scale::fit::{Book, Series};
-use crate::scale::target::Aim;
+use crate::scale::fit::{CapacityData, Series};
+use crate::scale::target::FleetTarget;
 
 /// One limit.
 pub struct Limit {
@@ -45,8 +45,8 @@
     serde_json::to_string(&node).map_or(0, |t| t.len() + 1) as f64
 }
 
-fn in_code(aim: &Aim) -> Vec<Limit> {
-    let t = &aim.target;
+fn in_code(target: &FleetTarget) -> Vec<Limit> {
+    let t = &target.target;
     let players = Players::default();
     let of = |what: &str, met: f64, target: f64, by: &str, how: &str| Limit {
         what: what.to_owned(),
@@ -70,23 +70,35 @@
         of(
             "longest contradiction that a document may state",
             MAX_CONTRADICTION,
-            aim.assume.contradiction,
+            target.assume.contradiction,
             "s",
             code,
         ),
-        of("an agreed document", MAX_DOCUMENT as f64, aim.assume.document, "B", code),
-        of("nodes in the roster's feed (assumed)", MAX_NODES as f64, aim.nodes(), "nodes", code),
-        of("the roster's whole list in one line (nodes assumed)", line, aim.nodes(), "nodes", &bytes),
-        of("titles in the roster\'s feed (assumed)", MAX_TITLES as f64, aim.assume.titles, "titles", code),
+        of("an agreed document", MAX_DOCUMENT as f64, target.assume.document, "B", code),
+        of("nodes in the roster's feed (assumed)", MAX_NODES as f64, target.node_count(), "nodes", code),
+        of("the roster's whole list in one line (nodes assumed)", line, target.node_count(), "nodes", &bytes),
+        of("titles in the roster\'s feed (assumed)", MAX_TITLES as f64, target.assume.titles, "titles", code),
         of("zones", MAX_ZONES as f64, t.zones, "zones", code),
-        of("sockets of a director", players.sockets as f64, aim.held(), "connections a director", setting),
-        of("sessions of a director", players.sessions as f64, aim.held(), "connections a director", setting),
+        of(
+            "sockets of a director",
+            players.sockets as f64,
+            target.sessions_per_director(),
+            "connections a director",
+            setting,
+        ),
+        of(
+            "sessions of a director",
+            players.sessions as f64,
+            target.sessions_per_director(),
+            "connections a director",
+            setting,
+        ),
     ]
 }
 
 /// Why a series does not settle whether the bound is kept at a size and below: some seeds keep it and others do not, or
 /// some brought no figure. The median alone would say too little.
-pub fn doubt(s: &Series, bound: f64, most: bool, at: f64) -> Option<String> {
+pub fn uncertainty(s: &Series, bound: f64, most: bool, at: f64) -> Option<String> {
     let over = |y: f64| if most { y > bound } else { y < bound };
     let sizes = s.medians();
     let upto = at * 1.005;
@@ -97,7 +109,7 @@
     };
     let seeds = |x: f64| s.points.iter().filter(|p| p.0 == x).count();
     let all = sizes.iter().map(|p| seeds(p.0)).max().unwrap_or(0);
-    let both = list(&|x| over(s.spread(x).0) != over(s.spread(x).1));
+    let both = list(&|x| over(s.range(x).0) != over(s.range(x).1));
     let fewer = list(&|x| seeds(x) < all);
     let told: Vec<String> = [("seeds on both sides at ", both), ("no figure of some seeds at ", fewer)]
         .into_iter()
@@ -108,7 +120,7 @@
 }
 
 /// Where a series meets a bound, and how that is known. `most`: it has to stay under it.
-pub fn meets(s: &Series, bound: f64, most: bool) -> (Option<f64>, String) {
+pub fn crossing(s: &Series, bound: f64, most: bool) -> (Option<f64>, String) {
     let over = |y: f64| if most { y > bound } else { y < bound };
     let sizes = s.medians();
     let (Some(first), Some(last)) = (sizes.first(), sizes.last()) else {
@@ -153,14 +165,14 @@
     (None, format!("measured; {adds}, under it at every size{bends}"))
 }
 
-fn measured(aim: &Aim, book: &Book) -> Vec<Limit> {
+fn measured(target: &FleetTarget, book: &CapacityData) -> Vec<Limit> {
     let mut all = Vec::new();
     for row in ROWS {
         for s in book.series.iter().filter(|s| row.shows(s)) {
-            let Some((bound, most)) = row.against.bound(aim, book, &s.unit) else { continue };
-            let Some(target) = aim.size(&s.by) else { continue };
-            let (met, how) = if row.against.each() { each(s, bound) } else { meets(s, bound, most) };
-            let doubt = doubt(s, bound, most, target).filter(|_| !row.against.each());
+            let Some((bound, most)) = row.against.bound(target, book, &s.unit) else { continue };
+            let Some(target) = target.size_for(&s.by) else { continue };
+            let (met, how) = if row.against.each() { each(s, bound) } else { crossing(s, bound, most) };
+            let doubt = uncertainty(s, bound, most, target).filter(|_| !row.against.each());
             let how = doubt.iter().fold(how, |how, doubt| format!("{how}; {doubt}"));
             let sign = if most { "at most" } else { "at least" };
             let what = format!("{}: {}, {sign} {}", row.role, named(s), figure(bound, &s.unit));
@@ -171,15 +183,15 @@
 }
 
 /// All limits, the first to break at the top; those that no size meets at the end.
-pub fn order(aim: &Aim, book: &Book) -> Vec<Limit> {
-    let mut all = in_code(aim);
-    all.extend(measured(aim, book));
+pub fn order(target: &FleetTarget, book: &CapacityData) -> Vec<Limit> {
+    let mut all = in_code(target);
+    all.extend(measured(target, book));
     all.sort_by(|a, b| a.part().total_cmp(&b.part()).then_with(|| a.what.cmp(&b.what)));
     all
 }
 
-pub fn table(aim: &Aim, book: &Book) -> String {
-    let mut rows: Vec<Vec<String>> = order(aim, book)
+pub fn table(target: &FleetTarget, book: &CapacityData) -> String {
+    let mut rows: Vec<Vec<String>> = order(target, book)
         .into_iter()
         .map(|l| {
             let met = l.met.map_or("-".into(), |m| format!("{} {}", number(m), l.by));
--- a/crates/kelpdoor-lab/src/scale/plan/roles.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/roles.rs
@@ -1,9 +1,9 @@
 //! What each role holds, says and costs: a row for each, measured or not.
 
-use super::show::{figure, number, table as show};
+use super::formatting::{figure, number, table as show};
 use super::worked;
-use crate::scale::fit::{Book, Series};
-use crate::scale::target::Aim;
+use crate::scale::fit::{CapacityData, Series};
+use crate::scale::target::FleetTarget;
 
 /// What a figure is held against.
 #[derive(Clone, Copy)]
@@ -46,27 +46,27 @@
     }
 
     /// The bound on a series of that unit, and whether it is met from below.
-    pub fn bound(self, aim: &Aim, book: &Book, unit: &str) -> Option<(f64, bool)> {
+    pub fn bound(self, target: &FleetTarget, book: &CapacityData, unit: &str) -> Option<(f64, bool)> {
         let most = |x| Some((x, true));
         if unit != self.unit() {
             return None;
         }
         match self {
             Against::Nothing => None,
-            Against::CoreEach => most(aim.budget.core),
-            Against::MemoryEach => most(aim.budget.memory),
-            Against::Bytes => most(aim.budget.bytes),
+            Against::CoreEach => most(target.budget.core),
+            Against::MemoryEach => most(target.budget.memory),
+            Against::Bytes => most(target.budget.bytes),
             Against::OneCore => most(1.0),
             Against::Descriptors if book.machine.descriptors == 0 => None,
             Against::Descriptors => most(book.machine.descriptors as f64),
-            Against::Delivery => most(aim.target.delivery_within),
-            Against::InForce => most(aim.target.in_force_within),
+            Against::Delivery => most(target.target.delivery_within),
+            Against::InForce => most(target.target.in_force_within),
             Against::Begin => Some((BEGIN, false)),
         }
     }
 
-    fn says(self, aim: &Aim, book: &Book, unit: &str) -> String {
-        let Some((bound, most)) = self.bound(aim, book, unit) else { return "none told".into() };
+    fn says(self, target: &FleetTarget, book: &CapacityData, unit: &str) -> String {
+        let Some((bound, most)) = self.bound(target, book, unit) else { return "none told".into() };
         let whose = match self {
             Against::OneCore => " (one thread decides)",
             Against::CoreEach | Against::MemoryEach => " for each",
@@ -382,8 +382,8 @@
     format!("{} ({}), {seeds} {}", all.len(), list.join("; "), if seeds == 1 { "seed" } else { "seeds" })
 }
 
-fn at_target(s: &Series, aim: &Aim) -> String {
-    let Some(x) = aim.size(&s.by) else { return "nothing in the target has this size".into() };
+fn at_target(s: &Series, target: &FleetTarget) -> String {
+    let Some(x) = target.size_for(&s.by) else { return "nothing in the target has this size".into() };
     let Some(w) = worked(s, x) else { return "one size: not worked out".into() };
     let within = w
         .within
@@ -403,7 +403,7 @@
     out
 }
 
-pub fn table(aim: &Aim, book: &Book) -> String {
+pub fn table(target: &FleetTarget, book: &CapacityData) -> String {
     let mut rows = Vec::new();
     for row in ROWS {
         let shown: Vec<&Series> = book.series.iter().filter(|s| row.shows(s)).collect();
@@ -419,8 +419,8 @@
                 named(s),
                 slope(s),
                 sizes(s),
-                at_target(s, aim),
-                row.against.says(aim, book, &s.unit),
+                at_target(s, target),
+                row.against.says(target, book, &s.unit),
                 end.clone(),
             ]);
         }
@@ -465,7 +465,7 @@
 }
 
 /// What has no run, and what was measured and stands in no row.
-pub fn missing(_aim: &Aim, book: &Book) -> String {
+pub fn missing(_aim: &FleetTarget, book: &CapacityData) -> String {
     let mut out = String::new();
     for row in ROWS {
         if !book.series.iter().any(|s| row.shows(s)) {
--- a/crates/kelpdoor-lab/src/scale/plan/words.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/terms.rs
@@ -1,10 +1,10 @@
 //! From the users' words to ours.
 
-use super::show::{figure, number};
-use crate::scale::target::{Aim, DAY};
+use super::formatting::{figure, number};
+use crate::scale::target::{FleetTarget, SECONDS_PER_DAY};
 
-fn rows(aim: &Aim) -> Vec<[String; 3]> {
-    let t = &aim.target;
+fn rows(target: &FleetTarget) -> Vec<[String; 3]> {
+    let t = &target.target;
     let each = |x: f64| number(x / t.directors);
     let row = |a: &str, b: &str, c: String| [a.to_owned(), b.to_owned(), c];
     vec![
@@ -26,7 +26,7 @@
                 "{} / {} = {} a director",
                 number(t.connections),
                 number(t.directors),
-                number(aim.held())
+                number(target.sessions_per_director())
             ),
         ),
         row(
@@ -45,7 +45,7 @@
                 "{} / {} = {} a director, {} sessions each",
                 number(t.shards),
                 number(t.directors),
-                number(aim.shards()),
+                number(target.shards_per_director()),
                 number(t.connections / t.shards)
             ),
         ),
@@ -56,7 +56,7 @@
                 "{} / {} = {} a second a director, one each {} to a viewer, {} for 99 in 100",
                 number(t.deliveries),
                 number(t.directors),
-                number(aim.deliveries()),
+                number(target.deliveries_per_director()),
                 figure(t.connections / t.deliveries, "s"),
                 figure(t.delivery_within, "s")
             ),
@@ -67,8 +67,8 @@
             format!(
                 "{} a day = {} a second, one each {}, in force everywhere within {}",
                 number(t.changes_a_day),
-                number(aim.changes()),
-                figure(1.0 / aim.changes(), "s"),
+                number(target.changes_per_second()),
+                figure(1.0 / target.changes_per_second(), "s"),
                 figure(t.in_force_within, "s")
             ),
         ),
@@ -77,11 +77,11 @@
             "all that is not a viewer's or a node's session traffic",
             format!(
                 "{} of a core, {}, {} a director, {} machines in all: one for {} directors",
-                number(aim.budget.core),
-                figure(aim.budget.memory, "B"),
-                figure(aim.budget.bytes, "B/s"),
-                number(aim.budget.machines),
-                number(t.directors / aim.budget.machines)
+                number(target.budget.core),
+                figure(target.budget.memory, "B"),
+                figure(target.budget.bytes, "B/s"),
+                number(target.budget.machines),
+                number(t.directors / target.budget.machines)
             ),
         ),
         row(
@@ -89,7 +89,7 @@
             "what is lost at once",
             format!(
                 "one each {}: {} directors, {} viewers",
-                figure(DAY / aim.faults.zones_a_day, "s"),
+                figure(SECONDS_PER_DAY / target.faults.zones_a_day, "s"),
                 number(t.directors / t.zones),
                 number(t.connections / t.zones)
             ),
@@ -99,14 +99,14 @@
             "what sessions play from",
             format!(
                 "{} sessions each are assumed: {} nodes",
-                number(aim.assume.sessions_a_node),
-                number(aim.nodes())
+                number(target.assume.sessions_a_node),
+                number(target.node_count())
             ),
         ),
     ]
 }
 
-pub fn table(aim: &Aim) -> String {
-    let rows: Vec<Vec<String>> = rows(aim).into_iter().map(Vec::from).collect();
-    super::show::table(&["the users' word", "ours", "the sum"], &rows)
+pub fn table(target: &FleetTarget) -> String {
+    let rows: Vec<Vec<String>> = rows(target).into_iter().map(Vec::from).collect();
+    super::formatting::table(&["the users' word", "ours", "the sum"], &rows)
 }
--- a/crates/kelpdoor-lab/src/scale/points.rs
+++ b/crates/kelpdoor-lab/src/scale/points.rs
@@ -32,14 +32,14 @@
 }
 
 impl Points {
-    pub fn join(&mut self, other: Points) {
+    pub fn merge(&mut self, other: Points) {
         self.points.extend(other.points);
         self.partial.extend(other.partial);
     }
 }
 
 /// Prints the points as a table, series by series, and what is missing.
-pub fn show(of: &Points) {
+pub fn print_table(of: &Points) {
     let mut table = Table::new();
     table.set_header(["role", "what", "at", "by", "size", "seed", "value", "unit", "hollow"]);
     for p in &of.points {
--- a/crates/kelpdoor-lab/src/scale/sessions.rs
+++ b/crates/kelpdoor-lab/src/scale/sessions.rs
@@ -25,7 +25,7 @@
 
 use super::Scale;
 use super::points::{Point, Points};
-use super::process::{Use, most_descriptors, usage};
+use super::process::{ProcessUsage, max_descriptors, usage};
 use crate::daemon::Daemon;
 use crate::fleet::{World, director_script, settings};
 use crate::record::Recorder;
@@ -133,7 +133,7 @@
                     runtime.shutdown_timeout(Duration::from_secs(2));
                     Ok(part)
                 });
-                points.join(part.await??);
+                points.merge(part.await??);
             }
         }
     }
@@ -211,7 +211,7 @@
     }
 
     /// Of the process while nothing is asked of it: of a core, and what it holds at the end.
-    async fn rest(&self, over: f64) -> Result<(f64, Use)> {
+    async fn rest(&self, over: f64) -> Result<(f64, ProcessUsage)> {
         let (before, at) = (usage(self.pid)?, Instant::now());
         sleep(Duration::from_secs_f64(over)).await;
         let after = usage(self.pid)?;
@@ -290,7 +290,7 @@
 
     async fn sessions_into(&self, seed: u64, bar: &ProgressBar, to: &mut Points) -> Result<()> {
         let of = &self.of;
-        let room = most_descriptors()?.saturating_sub(2 * u64::from(of.nodes) + OWN) as usize;
+        let room = max_descriptors()?.saturating_sub(2 * u64::from(of.nodes) + OWN) as usize;
         let (mut held, over): (Vec<usize>, Vec<usize>) = of.held.iter().partition(|n| **n <= room);
         held.sort_unstable();
         for n in over {
@@ -384,7 +384,7 @@
     }
 
     async fn links_into(&self, nodes: u32, seed: u64, to: &mut Points) -> Result<()> {
-        let room = most_descriptors()?.saturating_sub(OWN) / 2;
+        let room = max_descriptors()?.saturating_sub(OWN) / 2;
         ensure!(u64::from(nodes) <= room, "descriptors for {room} at most");
         let stage = Stage::start(&self.program, nodes, 1, 1, seed).await?;
         let (at, began) = ("no sessions, a link to each", Instant::now());
--- a/crates/kelpdoor-lab/src/scale/simulate.rs
+++ b/crates/kelpdoor-lab/src/scale/simulate.rs
@@ -9,7 +9,7 @@
     ClientRequest, DurableState, Output, Value, Voter, VoterId, VoterMessage, VoterResponse,
 };
 
-use super::follow::{self, Board, FIRST_LINE, Follower};
+use super::follower::{self, FIRST_LINE, Follower, VersionTracker};
 
 /// s; a word between two sites takes from the first to the second, drawn for each.
 const LATE: (f64, f64) = (0.002, 0.022);
@@ -38,7 +38,7 @@
 
 /// What is simulated.
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
+pub struct SimulationPlan {
     pub seed: u64,
     pub directors: usize,
     pub voters: usize,
@@ -60,26 +60,26 @@
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Part of the span in which each director might begin sessions.
-    pub parts: Vec<f64>,
+    pub begin_fractions: Vec<f64>,
     /// And each of the region that was cut off.
-    pub cut: Vec<f64>,
+    pub cut_begin_fractions: Vec<f64>,
     /// s from a proposal until all know it, and until it is in force everywhere, sorted.
-    pub known: Vec<f64>,
-    pub force: Vec<f64>,
+    pub known_delays: Vec<f64>,
+    pub in_force_delays: Vec<f64>,
     /// Proposed in the span and decided, and not in force everywhere by the end.
-    pub never: usize,
+    pub not_in_force: usize,
     /// Proposals, those that another came before, those that no voter took at that moment, and changes given up.
     pub proposals: u64,
-    pub lost: u64,
-    pub busy: u64,
+    pub proposals_lost: u64,
+    pub proposals_not_taken: u64,
     pub given_up: u64,
     /// The last answer to one that was given up, on processes.
     pub why_given_up: String,
     /// s from a first proposal until its operator was told of the end, sorted.
-    pub decided: Vec<f64>,
+    pub decision_times: Vec<f64>,
     /// B and words a second and director, both ways, in the span.
     pub bytes: f64,
-    pub words: f64,
+    pub messages: f64,
     /// Of that, B a second and director from voters that carried more than a plain answer.
     pub documents: f64,
     /// Questions a second at a voter, in the span.
@@ -90,10 +90,10 @@
     pub older_alone: f64,
     pub mixed: f64,
     /// After the region is healed: s until each of its directors may begin, sorted, and B each until 10 s after.
-    pub again: Vec<f64>,
-    pub healing: f64,
+    pub recovery_times: Vec<f64>,
+    pub healing_bytes: f64,
     /// And B in 10 s of a director that was never cut off.
-    pub beside: f64,
+    pub uncut_bytes: f64,
     /// s of virtual time measured; less than planned if cut short.
     pub measured: f64,
     pub cut_short: bool,
@@ -102,15 +102,15 @@
 
 impl Outcome {
     /// What became of the versions that were proposed from here to there.
-    pub fn versions(&mut self, board: &Board, from: f64, to: f64) {
-        for v in board.proposed(from, to) {
+    pub fn versions(&mut self, tracker: &VersionTracker, from: f64, to: f64) {
+        for v in tracker.proposed_between(from, to) {
             let Some(proposed) = v.proposed else { continue };
-            self.known.extend(v.known_at.map(|at| at - proposed));
-            self.force.extend(v.force_at.map(|at| at - proposed));
-            self.never += usize::from(v.force_at.is_none());
+            self.known_delays.extend(v.known_at.map(|at| at - proposed));
+            self.in_force_delays.extend(v.force_at.map(|at| at - proposed));
+            self.not_in_force += usize::from(v.force_at.is_none());
         }
-        (self.older_alone, self.mixed) = (board.older_alone, board.mixed);
-        for all in [&mut self.known, &mut self.force, &mut self.decided] {
+        (self.older_alone, self.mixed) = (tracker.older_alone, tracker.mixed);
+        for all in [&mut self.known_delays, &mut self.in_force_delays, &mut self.decision_times] {
             all.sort_by(f64::total_cmp);
         }
     }
@@ -156,7 +156,7 @@
 }
 
 struct Sim {
-    plan: Plan,
+    plan: SimulationPlan,
     rng: Rng,
     t: f64,
     count: u64,
@@ -177,7 +177,7 @@
     operators: BTreeMap<u64, Operator>,
     changes: u64,
     left: u32,
-    board: Board,
+    tracker: VersionTracker,
     out: Outcome,
     /// B, words, and B of words with a document, of each director counted.
     counted: BTreeMap<usize, (u64, u64, u64)>,
@@ -199,7 +199,7 @@
 }
 
 impl Sim {
-    fn new(plan: &Plan) -> Self {
+    fn new(plan: &SimulationPlan) -> Self {
         let (v, d) = (plan.voters, plan.directors);
         let mut rng = Rng::with_seed(plan.seed);
         let rates = (0..v + d).map(|_| 1.0 + APART * (rng.f64() - 0.5)).collect();
@@ -228,7 +228,7 @@
             busy: vec![0.0; v],
             tick_at: vec![f64::INFINITY; v],
             followers: (0..d)
-                .map(|k| follow::follower(&format!("director-{k:04}"), plan.seed + k as u64))
+                .map(|k| follower::follower(&format!("director-{k:04}"), plan.seed + k as u64))
                 .collect(),
             due_at: vec![f64::INFINITY; d],
             rates,
@@ -237,7 +237,7 @@
             operators: BTreeMap::new(),
             changes: 0,
             left: plan.burst,
-            board: Board::new(d, |f| !plan.cut || f % v != 0),
+            tracker: VersionTracker::new(d, |f| !plan.cut || f % v != 0),
             out: Outcome::default(),
             counted,
             counting: span,
@@ -287,7 +287,7 @@
     }
 
     fn text(&self) -> String {
-        let head = follow::head(self.plan.contradiction, self.plan.voters);
+        let head = follower::document_header(self.plan.contradiction, self.plan.voters);
         // The line that changes stands in the middle.
         let half = self.pad[..self.pad.len() / 2].rfind('\n').map_or(0, |n| n + 1);
         let (before, after) = self.pad.split_at(half);
@@ -348,13 +348,13 @@
     fn work(&mut self, f: usize) {
         let site = self.plan.voters + f;
         let (now, rate) = (self.local(site), self.rates[site]);
-        for (voter, ask) in follow::asks(&mut self.followers[f], now, self.plan.voters) {
+        for (voter, ask) in follower::due_requests(&mut self.followers[f], now, self.plan.voters) {
             let k = usize::from(voter.0);
             self.count(f, &ask, false);
             self.asked += u64::from(self.span.0 <= self.t && self.t < self.span.1);
             self.carry(self.t, site, k, Event::Asked(k, f as u64, ask));
         }
-        self.board.look(self.t, f, &self.followers[f], now, |local| local / rate);
+        self.tracker.observe(self.t, f, &self.followers[f], now, |local| local / rate);
         let due = self.followers[f].next_request_at().min(self.followers[f].next_change_at(now)) / rate;
         // A moment after it is due, or a sum of times may fall short of it.
         let due = (due + SOON).max(self.t + SOON);
@@ -401,9 +401,9 @@
             VoterResponse::Agreed { number } => {
                 let first = o.first;
                 self.operators.remove(&n);
-                self.board.agreed(number, first, self.t);
+                self.tracker.record_agreed(number, first, self.t);
                 if first >= self.span.0 {
-                    self.out.decided.push(self.t - first);
+                    self.out.decision_times.push(self.t - first);
                 }
                 if self.left > 0 && first >= self.span.0 {
                     self.left -= 1;
@@ -416,14 +416,14 @@
                 // Made anew from what came first, and proposed at once.
                 o.after = newest;
                 o.value.id = self.rng.u64(..);
-                self.out.lost += u64::from(self.t >= self.span.0);
+                self.out.proposals_lost += u64::from(self.t >= self.span.0);
                 self.at(self.t, Event::Propose(n, home));
             }
             VoterResponse::NotTaken { .. } | VoterResponse::Unknown { .. } => {
                 // The same at the next voter, as the daemon's own command does; after the last one, after a while.
                 let next = (home + o.tries as usize) % self.plan.voters;
                 let next = if self.plan.cut && next == 0 { home } else { next };
-                self.out.busy += u64::from(self.t >= self.span.0);
+                self.out.proposals_not_taken += u64::from(self.t >= self.span.0);
                 let wait = if next == home { OPERATOR * (1.0 + self.rng.f64()) } else { 0.0 };
                 self.at(self.t + wait, Event::Propose(n, next));
             }
@@ -457,7 +457,7 @@
                 self.flush(k);
             }
             Event::Told(f, k, tell) => {
-                let plain = self.counted.contains_key(&f).then(|| follow::plain(&tell));
+                let plain = self.counted.contains_key(&f).then(|| follower::is_plain_grant(&tell));
                 if let Some(plain) = plain {
                     self.count(f, &tell, !plain);
                 }
@@ -513,7 +513,7 @@
             0 => {}
             _ => self.at(begin, Event::Change),
         }
-        self.board.span(self.span.0, self.span.1);
+        self.tracker.set_span(self.span.0, self.span.1);
         // Then time for the last change to be in force.
         let calm = 3.0 * self.plan.contradiction + 10.0;
         let end = self.span.1 + calm;
@@ -549,17 +549,17 @@
             all.values().map(of).sum::<u64>() as f64
         };
         self.out.bytes = sum(|c| c.0, &self.counted) / n / length;
-        self.out.words = sum(|c| c.1, &self.counted) / n / length;
+        self.out.messages = sum(|c| c.1, &self.counted) / n / length;
         self.out.documents = sum(|c| c.2, &self.counted) / n / length;
         self.out.questions = self.asked as f64 / self.plan.voters as f64 / length;
         self.out.measured = length;
         let t = self.t;
-        self.out.parts = self.board.parts(t, |_| true);
+        self.out.begin_fractions = self.tracker.begin_fractions(t, |_| true);
         if self.plan.cut {
             let regions = self.plan.voters;
-            self.out.cut = self.board.parts(t, |d| d % regions == 0);
-            self.out.parts = self.board.parts(t, |d| d % regions != 0);
-            self.board.mark(t);
+            self.out.cut_begin_fractions = self.tracker.begin_fractions(t, |d| d % regions == 0);
+            self.out.begin_fractions = self.tracker.begin_fractions(t, |d| d % regions != 0);
+            self.tracker.set_mark(t);
             self.counted.values_mut().for_each(|c| *c = (0, 0, 0));
             self.counting = (t, t + 10.0);
         }
@@ -571,10 +571,10 @@
         }
         let (from, to) = self.span;
         let mut of = std::mem::take(&mut self.out);
-        of.versions(&self.board, from, to);
+        of.versions(&self.tracker, from, to);
         let regions = self.plan.voters;
         if self.plan.cut {
-            of.again = self.board.again(|d| d % regions == 0);
+            of.recovery_times = self.tracker.recovery_times(|d| d % regions == 0);
             let mean = |in_cut: bool| {
                 let all: Vec<u64> = self
                     .counted
@@ -584,21 +584,21 @@
                     .collect();
                 all.iter().sum::<u64>() as f64 / all.len().max(1) as f64
             };
-            (of.healing, of.beside) = (mean(true), mean(false));
+            (of.healing_bytes, of.uncut_bytes) = (mean(true), mean(false));
         }
-        of.again.sort_by(f64::total_cmp);
+        of.recovery_times.sort_by(f64::total_cmp);
         of
     }
 }
 
 /// s of a core that a director's loop spends a second on following, steady, as a real one does: a look at all voters for
 /// each answer, with documents of that size; without reading, connections and JSON. Over so many seconds of virtual time.
-pub fn loop_cost(voters: usize, contradiction: f64, document: usize, seconds: f64) -> f64 {
-    let plan = Plan { voters, contradiction, document, ..Plan::default() };
+pub fn director_loop_cost(voters: usize, contradiction: f64, document: usize, seconds: f64) -> f64 {
+    let plan = SimulationPlan { voters, contradiction, document, ..SimulationPlan::default() };
     let mut sim = Sim::new(&plan);
     let ids: Vec<VoterId> = (0..voters as u8).map(VoterId).collect();
     let text = sim.text();
-    let mut follower = follow::follower("director", 1);
+    let mut follower = follower::follower("director", 1);
     let lease = kelpdoor_agreement::lease_duration(contradiction);
     let (mut spent, mut now) = (0.0, 0.0);
     for v in &mut sim.voters {
@@ -608,7 +608,7 @@
     }
     while now < 2.0 * lease + seconds {
         let began = Instant::now();
-        let asks = follow::as_a_director(&mut follower, now, voters);
+        let asks = follower::poll_like_director(&mut follower, now, voters);
         let mut took = began.elapsed();
         for (id, ask) in asks {
             let voter = &mut sim.voters[usize::from(id.0)];
@@ -618,7 +618,7 @@
                     let began = Instant::now();
                     // An answer that does not count costs the same.
                     let _ = follower.handle_response(now, id, tell);
-                    follow::as_a_director(&mut follower, now, voters);
+                    follower::poll_like_director(&mut follower, now, voters);
                     took += began.elapsed();
                 }
             }
@@ -632,6 +632,6 @@
 }
 
 /// Plays a plan; cut short at `until`.
-pub fn simulate(plan: &Plan, until: Instant) -> Outcome {
+pub fn simulate(plan: &SimulationPlan, until: Instant) -> Outcome {
     Sim::new(plan).run(until)
 }
--- a/crates/kelpdoor-lab/src/scale/target.rs
+++ b/crates/kelpdoor-lab/src/scale/target.rs
@@ -84,7 +84,7 @@
 
 /// A target file.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Aim {
+pub struct FleetTarget {
     pub target: Target,
     pub budget: Budget,
     pub faults: Faults,
@@ -142,20 +142,23 @@
 /// Of any figure in a target; beyond it sums lose their last digits.
 const MOST: f64 = 1e15;
 
-impl Aim {
+impl FleetTarget {
     /// # Errors
     /// Every fault found, each with its place.
-    pub fn run(file: &str, text: &str) -> Result<Aim, Vec<SettingsError>> {
-        Aim::of(file, &kelpdoor_script::evaluate(file, text, TARGET_BUILTINS)?)
+    pub fn parse(file: &str, text: &str) -> Result<FleetTarget, Vec<SettingsError>> {
+        FleetTarget::from_calls(file, &kelpdoor_script::evaluate(file, text, TARGET_BUILTINS)?)
     }
 
     /// # Errors
     /// Every fault found, each with its place, and where the file cannot be read.
-    pub fn read(path: &Path) -> Result<Aim, Vec<SettingsError>> {
-        Aim::of(&path.display().to_string(), &kelpdoor_script::evaluate_file(path, TARGET_BUILTINS)?)
+    pub fn read(path: &Path) -> Result<FleetTarget, Vec<SettingsError>> {
+        FleetTarget::from_calls(
+            &path.display().to_string(),
+            &kelpdoor_script::evaluate_file(path, TARGET_BUILTINS)?,
+        )
     }
 
-    fn of(file: &str, calls: &[Call]) -> Result<Aim, Vec<SettingsError>> {
+    fn from_calls(file: &str, calls: &[Call]) -> Result<FleetTarget, Vec<SettingsError>> {
         let mut r = Reader { file, calls, faults: Vec::new() };
         let target = r.one::<Target>("target", true);
         let budget = r.one::<Budget>("budget", true);
@@ -185,46 +188,46 @@
         match (target, budget, faults) {
             (Some((target, _)), Some((budget, _)), Some((of, _))) if r.faults.is_empty() => {
                 let assume = assume.map(|a| a.0).unwrap_or_default();
-                Ok(Aim { target, budget, faults: of, assume })
+                Ok(FleetTarget { target, budget, faults: of, assume })
             }
             _ => Err(r.faults),
         }
     }
 
     /// Connections of a director.
-    pub fn held(&self) -> f64 {
+    pub fn sessions_per_director(&self) -> f64 {
         self.target.connections / self.target.directors
     }
 
     /// Shards of a director.
-    pub fn shards(&self) -> f64 {
+    pub fn shards_per_director(&self) -> f64 {
         self.target.shards / self.target.directors
     }
 
     /// Messages to viewers a second, of a director.
-    pub fn deliveries(&self) -> f64 {
+    pub fn deliveries_per_director(&self) -> f64 {
         self.target.deliveries / self.target.directors
     }
 
     /// Media nodes.
-    pub fn nodes(&self) -> f64 {
+    pub fn node_count(&self) -> f64 {
         (self.target.connections / self.assume.sessions_a_node).ceil()
     }
 
     /// Changes a second.
-    pub fn changes(&self) -> f64 {
-        self.target.changes_a_day / DAY
+    pub fn changes_per_second(&self) -> f64 {
+        self.target.changes_a_day / SECONDS_PER_DAY
     }
 
     /// The size that a series is worked out for, by what it grows with.
-    pub fn size(&self, by: &str) -> Option<f64> {
+    pub fn size_for(&self, by: &str) -> Option<f64> {
         match by {
             "directors" => Some(self.target.directors),
-            "sessions" | "connections" => Some(self.held()),
-            "nodes" | "listed nodes" => Some(self.nodes()),
-            "changes/s" => Some(self.changes()),
-            "messages/s" | "deliveries/s" => Some(self.deliveries()),
-            "shards" | "titles" => Some(self.shards()),
+            "sessions" | "connections" => Some(self.sessions_per_director()),
+            "nodes" | "listed nodes" => Some(self.node_count()),
+            "changes/s" => Some(self.changes_per_second()),
+            "messages/s" | "deliveries/s" => Some(self.deliveries_per_director()),
+            "shards" | "titles" => Some(self.shards_per_director()),
             "voters" => Some(self.assume.voters),
             "document bytes" => Some(self.assume.document),
             _ => None,
@@ -233,4 +236,4 @@
 }
 
 /// s
-pub const DAY: f64 = 86_400.0;
+pub const SECONDS_PER_DAY: f64 = 86_400.0;
--- a/crates/kelpdoor-lab/src/scale/voters.rs
+++ b/crates/kelpdoor-lab/src/scale/voters.rs
@@ -18,10 +18,10 @@
 use tokio::time::{sleep, timeout};
 
 use super::Scale;
-use super::follow;
-use super::hollow::{Seen, SeenVoter, Spec, times, together};
+use super::follower;
+use super::hollow::{HollowSpec, HollowStats, VoterStats, latency_histogram, merge_stats};
 use super::points::{Point, Points};
-use super::process::{Use, load, most_descriptors, usage};
+use super::process::{ProcessUsage, load_average, max_descriptors, usage};
 use crate::daemon::Daemon;
 
 pub const FLEET: &str = "scale";
@@ -111,7 +111,7 @@
         match timeout(Duration::from_secs_f64(left + ANSWER.as_secs_f64()), cell.measure(all, of, &program))
             .await
         {
-            Ok(done) => points.join(done.with_context(|| format!("{cell:?}"))?),
+            Ok(done) => points.merge(done.with_context(|| format!("{cell:?}"))?),
             Err(_) => points.partial.push(format!("voters cut short by time: {cell:?}")),
         }
         bar.inc(1);
@@ -145,18 +145,18 @@
 
     async fn measure(&self, all: &Scale, of: &Options, program: &Path) -> Result<Points> {
         let mut points = Points::default();
-        let limit = most_descriptors()? as usize;
+        let limit = max_descriptors()? as usize;
         if self.directors + SPARE > limit {
             let why =
                 format!("{self:?} not measured: a voter would hold more than {limit} descriptors, the limit");
             points.partial.push(why);
             return Ok(points);
         }
-        let loaded = load()?;
+        let loaded = load_average()?;
         let mut voters = Voters::start(program, self.voters).await?;
         voters.agree_first(of.document, self.contradiction).await?;
         let share = SHARE.min((limit - SPARE) / self.voters);
-        let mut hollows = Hollows::start(program, &voters.at, self.directors, share).await?;
+        let mut hollows = HollowProcesses::start(program, &voters.at, self.directors, share).await?;
         let came = hollows.until(COME, |s| s.begin == s.directors).await?;
         if came.begin < came.directors {
             points
@@ -172,7 +172,7 @@
     }
 
     async fn steady(
-        &self, all: &Scale, of: &Options, voters: &Voters, hollows: &mut Hollows, points: &mut Points,
+        &self, all: &Scale, of: &Options, voters: &Voters, hollows: &mut HollowProcesses, points: &mut Points,
     ) -> Result<()> {
         let windows = all.seeds.max(1);
         for window in 1..=windows {
@@ -187,9 +187,9 @@
             };
             let (n, d, s) = (self.voters as f64, self.directors as f64, seen.seconds);
             let mean =
-                |of: &dyn Fn(&SeenVoter) -> u64| seen.voters.iter().map(of).sum::<u64>() as f64 / n / s;
-            let core = |of: &[Use]| of.iter().map(|u| u.core).sum::<f64>();
-            let memory = |of: &[Use]| of.iter().map(|u| u.memory).sum::<f64>();
+                |of: &dyn Fn(&VoterStats) -> u64| seen.voters.iter().map(of).sum::<u64>() as f64 / n / s;
+            let core = |of: &[ProcessUsage]| of.iter().map(|u| u.core).sum::<f64>();
+            let memory = |of: &[ProcessUsage]| of.iter().map(|u| u.memory).sum::<f64>();
             put("voter", "processor time", "core", (core(&after) - core(&before)) / n / s);
             put("voter", "memory", "B", memory(&after) / n);
             put("voter", "descriptors", "descriptors", after.iter().map(|u| u.descriptors).sum::<f64>() / n);
@@ -216,7 +216,9 @@
     }
 
     /// One voter is killed and started again at once: all its directors come back together.
-    async fn restart(&self, voters: &mut Voters, hollows: &mut Hollows, points: &mut Points) -> Result<()> {
+    async fn restart(
+        &self, voters: &mut Voters, hollows: &mut HollowProcesses, points: &mut Points,
+    ) -> Result<()> {
         voters.kill(0).await?;
         // What it had said before is read by then.
         sleep(Duration::from_millis(100)).await;
@@ -225,7 +227,8 @@
         voters.again(0).await?;
         let listens = began.elapsed().as_secs_f64();
         let mut least = self.directors;
-        let answered = |s: &Seen| s.voters.first().map_or(0, |v| v.firsts.iter().map(|f| f.1).sum::<u64>());
+        let answered =
+            |s: &HollowStats| s.voters.first().map_or(0, |v| v.firsts.iter().map(|f| f.1).sum::<u64>());
         let seen = hollows
             .until(BACK, |s| {
                 least = least.min(s.begin);
@@ -258,13 +261,13 @@
 }
 
 fn merged<'a>(all: impl Iterator<Item = &'a (u64, u64)>) -> hdrhistogram::Histogram<u64> {
-    let mut sum = times();
+    let mut sum = latency_histogram();
     all.for_each(|(value, count)| sum.saturating_record_n(*value, *count));
     sum
 }
 
 /// Why not all may begin, as far as it is seen.
-fn why(of: &Seen) -> String {
+fn why(of: &HollowStats) -> String {
     let lines: Vec<String> = of.voters.iter().map(|v| v.connected.to_string()).collect();
     let ended: u64 = of.voters.iter().map(|v| v.ended).sum();
     format!(
@@ -359,14 +362,14 @@
     ///
     /// # Errors
     /// Where one has ended by itself.
-    pub fn usage(&self) -> Result<Vec<Use>> {
+    pub fn usage(&self) -> Result<Vec<ProcessUsage>> {
         let ids = self.running.iter().flatten().map(|d| d.child.id());
         ids.map(|id| usage(id.context("a voter has ended")?)).collect()
     }
 
     /// A document as real voters read it, of that size, about; changes differ in a key that is not switched.
     pub fn document(&self, bytes: usize, contradiction: f64, change: u64) -> String {
-        let head = follow::head(contradiction, self.at.len());
+        let head = follower::document_header(contradiction, self.at.len());
         let base = format!(
             "ladder(rates = [120, 221], utility = [0.2, 0.42])\n\
              group(\"story\", utility = 1, start_target = 1, floor = 0, top = 1)\n\
@@ -439,15 +442,17 @@
 }
 
 /// Processes of hollow directors.
-struct Hollows(Vec<(Child, ChildStdin, Lines<BufReader<ChildStdout>>)>);
+struct HollowProcesses(Vec<(Child, ChildStdin, Lines<BufReader<ChildStdout>>)>);
 
-impl Hollows {
-    async fn start(program: &Path, voters: &[SocketAddr], directors: usize, share: usize) -> Result<Hollows> {
+impl HollowProcesses {
+    async fn start(
+        program: &Path, voters: &[SocketAddr], directors: usize, share: usize,
+    ) -> Result<HollowProcesses> {
         let mut all = Vec::new();
         for first in (0..directors).step_by(share) {
             let n = share.min(directors - first);
             let within = (n * voters.len()) as f64 / START;
-            let spec = Spec {
+            let spec = HollowSpec {
                 fleet: FLEET.to_owned(),
                 voters: voters.to_vec(),
                 first,
@@ -466,11 +471,11 @@
             input.write_all(format!("{}\n", serde_json::to_string(&spec)?).as_bytes()).await?;
             all.push((child, input, output));
         }
-        Ok(Hollows(all))
+        Ok(HollowProcesses(all))
     }
 
     /// `look`, or `mark` to count anew after it.
-    async fn ask(&mut self, wish: &str) -> Result<Seen> {
+    async fn ask(&mut self, wish: &str) -> Result<HollowStats> {
         for (_, input, _) in &mut self.0 {
             input.write_all(format!("{wish}\n").as_bytes()).await?;
         }
@@ -480,11 +485,11 @@
                 timeout(ANSWER, output.next_line()).await.context("hollow directors do not answer")??;
             all.push(serde_json::from_str(&line.context("hollow directors have ended")?)?);
         }
-        Ok(together(&all))
+        Ok(merge_stats(&all))
     }
 
     /// Looks until it is so, or for so many seconds; what was seen last.
-    async fn until(&mut self, most: f64, mut so: impl FnMut(&Seen) -> bool) -> Result<Seen> {
+    async fn until(&mut self, most: f64, mut so: impl FnMut(&HollowStats) -> bool) -> Result<HollowStats> {
         let until = Instant::now() + Duration::from_secs_f64(most);
         loop {
             let seen = self.ask("look").await?;
@@ -495,7 +500,7 @@
         }
     }
 
-    fn usage(&self) -> Result<Vec<Use>> {
+    fn usage(&self) -> Result<Vec<ProcessUsage>> {
         self.0.iter().map(|(child, ..)| usage(child.id().context("hollow directors have ended")?)).collect()
     }
 }
--- a/crates/kelpdoor-lab/tests/plan.rs
+++ b/crates/kelpdoor-lab/tests/plan.rs
@@ -3,17 +3,17 @@
 use std::path::PathBuf;
 
 use expect_test::{Expect, expect};
-use kelpdoor_lab::scale::fit::{self, Book, Line, Machine};
-use kelpdoor_lab::scale::plan::{self, parts, renew};
+use kelpdoor_lab::scale::fit::{self, CapacityData, LinearFit, Machine};
+use kelpdoor_lab::scale::plan::{self, replace_sections, sections};
 use kelpdoor_lab::scale::points::{Point, Points};
-use kelpdoor_lab::scale::target::Aim;
+use kelpdoor_lab::scale::target::FleetTarget;
 
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn aim() -> Aim {
-    Aim::read(&root().join("deploy/targets/fleet-5800.star")).expect("the target")
+fn target() -> FleetTarget {
+    FleetTarget::read(&root().join("deploy/targets/fleet-5800.star")).expect("the target")
 }
 
 /// Anscombe's quartet (1973): the same line through four very different clouds.
@@ -21,9 +21,9 @@
 const ANSCOMBE_1: [f64; 11] = [8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68];
 const ANSCOMBE_2: [f64; 11] = [9.14, 8.14, 8.74, 8.77, 9.26, 8.10, 6.13, 3.10, 9.13, 7.26, 4.74];
 
-fn line(xs: &[f64], ys: &[f64]) -> Line {
+fn line(xs: &[f64], ys: &[f64]) -> LinearFit {
     let points: Vec<(f64, f64, u64)> = xs.iter().zip(ys).map(|(x, y)| (*x, *y, 1)).collect();
-    Line::of(&points).expect("a line")
+    LinearFit::fit(&points).expect("a line")
 }
 
 fn near(a: f64, b: f64) {
@@ -71,8 +71,8 @@
     let of = line(&[1.0, 2.0, 3.0], &[1.0, 4.0, 9.0]);
     assert!(of.too_few && of.bends.is_none());
     assert_eq!(line(&[1.0, 2.0], &[1.0, 4.0]).b_within, None);
-    assert_eq!(Line::of(&[(1.0, 2.0, 1), (1.0, 3.0, 2)]), None);
-    assert_eq!(Line::of(&[]), None);
+    assert_eq!(LinearFit::fit(&[(1.0, 2.0, 1), (1.0, 3.0, 2)]), None);
+    assert_eq!(LinearFit::fit(&[]), None);
 }
 
 fn point(named: [&str; 5], x: f64, y: f64, seed: u64) -> Point {
@@ -124,19 +124,19 @@
     Points { points, partial: vec!["voters at 9000: no memory was left".into()] }
 }
 
-fn book() -> Book {
+fn book() -> CapacityData {
     let machine = Machine { cores: 8, memory: 24e9, processor: "a processor".into(), descriptors: 20_000 };
-    Book {
+    CapacityData {
         machine,
         date: "2026-12-01".into(),
         series: fit::series(&some().points, "2026-12-01", "a run"),
-        ..Book::new(&some(), "")
+        ..CapacityData::new(&some(), "")
     }
 }
 
 #[test]
 fn a_fleet_is_worked_out_from_series() {
-    let all = parts(&aim(), &book());
+    let all = sections(&target(), &book());
     let of = |name: &str| all.iter().find(|p| p.0 == name).map(|p| p.1.clone()).expect("a part");
     let lines = |text: &str, with: &str| {
         text.lines().filter(|l| l.contains(with)).map(str::to_owned).collect::<Vec<_>>().join("\n")
@@ -178,13 +178,13 @@
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("capacity.json");
     fit::write(&file, &some(), "first").expect("written");
-    let first = Book::read(&file).expect("read");
+    let first = CapacityData::read(&file).expect("read");
     let later = Points {
         points: vec![point(["director", "memory", "B", "sessions", ""], 10.0, 7.0, 1)],
         partial: vec![],
     };
     fit::add(&file, &later, "second").expect("added");
-    let both = Book::read(&file).expect("read");
+    let both = CapacityData::read(&file).expect("read");
     assert_eq!(first.series.len(), both.series.len());
     let memory = both.series.iter().find(|s| s.what == "memory").expect("memory");
     assert_eq!((memory.points.as_slice(), memory.note.as_str()), ([(10.0, 7.0, 1)].as_slice(), "second"));
@@ -194,10 +194,10 @@
 #[test]
 fn page_measurements_and_target_go_together() {
     let page = std::fs::read_to_string(root().join("docs/CAPACITY.md")).expect("the page");
-    let book = Book::read(&root().join("docs/capacity.json")).expect("what was measured");
+    let book = CapacityData::read(&root().join("docs/capacity.json")).expect("what was measured");
     for s in &book.series {
-        assert_eq!(s.line.is_some(), Line::of(&s.points).is_some(), "{} {}", s.role, s.what);
-        if let (Some(kept), Some(anew)) = (&s.line, Line::of(&s.points)) {
+        assert_eq!(s.line.is_some(), LinearFit::fit(&s.points).is_some(), "{} {}", s.role, s.what);
+        if let (Some(kept), Some(anew)) = (&s.line, LinearFit::fit(&s.points)) {
             assert!(
                 (kept.b - anew.b).abs() <= 1e-9 * anew.b.abs(),
                 "{} {}: its line is of other points",
@@ -206,7 +206,7 @@
             );
         }
     }
-    let anew = renew(&page, &parts(&aim(), &book)).expect("the page has its places");
+    let anew = replace_sections(&page, &sections(&target(), &book)).expect("the page has its places");
     assert!(
         page == anew,
         "the page is of another target or measurement: kelpdoor-lab scale plan --page makes it anew"
@@ -219,8 +219,8 @@
     let mark = |name: &str| format!("<!-- worked out by kelpdoor-lab scale plan: {name} -->");
     let page =
         format!("before\n{}old<!-- end -->\nbetween\n{}\n<!-- end -->after\n", mark("one"), mark("two"));
-    let made = renew(&page, &of).expect("a good page");
-    assert_eq!(made, renew(&made, &of).expect("a good page"));
+    let made = replace_sections(&page, &of).expect("a good page");
+    assert_eq!(made, replace_sections(&made, &of).expect("a good page"));
     expect![[r#"
         before
         <!-- worked out by kelpdoor-lab scale plan: one -->
@@ -236,8 +236,9 @@
         <!-- end -->after
     "#]]
     .assert_eq(&made);
-    let refused =
-        |page: &str, why: Expect| why.assert_eq(&renew(page, &of).expect_err("a bad page").to_string());
+    let refused = |page: &str, why: Expect| {
+        why.assert_eq(&replace_sections(page, &of).expect_err("a bad page").to_string())
+    };
     refused(&mark("one"), expect!["line 1: no <!-- end -->"]);
     refused(&format!("\n{}<!-- end -->", mark("three")), expect![[r#"line 2: no part "three""#]]);
     refused(
@@ -260,16 +261,23 @@
 
 #[test]
 fn a_good_target_reads_and_other_words_take_their_defaults() {
-    let aim = Aim::run("t.star", GOOD).expect("good");
-    assert_eq!((aim.held(), aim.assume.voters, aim.assume.setups_a_second), (100.0, 3.0, 500.0));
-    assert!(parts(&aim, &Book::default()).iter().all(|p| !p.1.contains("NaN") && !p.1.contains("inf")));
+    let target = FleetTarget::parse("t.star", GOOD).expect("good");
+    assert_eq!(
+        (target.sessions_per_director(), target.assume.voters, target.assume.setups_a_second),
+        (100.0, 3.0, 500.0)
+    );
+    assert!(
+        sections(&target, &CapacityData::default())
+            .iter()
+            .all(|p| !p.1.contains("NaN") && !p.1.contains("inf"))
+    );
 }
 
 #[test]
 fn bad_targets_are_refused_with_line_and_column() {
     let faults = |from: &str, to: &str, why: Expect| {
         assert!(GOOD.contains(from), "{from}");
-        let faults = Aim::run("t.star", &GOOD.replacen(from, to, 1)).expect_err("faults");
+        let faults = FleetTarget::parse("t.star", &GOOD.replacen(from, to, 1)).expect_err("faults");
         why.assert_eq(&faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"));
     };
     faults(
@@ -350,7 +358,8 @@
     let of =
         |page: Option<PathBuf>| plan::Options { target: target.clone(), measured: measured.clone(), page };
     assert!(format!("{:#}", plan::run(&of(None)).expect_err("no measurements")).contains("m.json"));
-    std::fs::write(&measured, serde_json::to_string(&Book::default()).expect("JSON")).expect("written");
+    std::fs::write(&measured, serde_json::to_string(&CapacityData::default()).expect("JSON"))
+        .expect("written");
     plan::run(&of(None)).expect("printed");
     let page = dir.path().join("page.md");
     assert!(format!("{:#}", plan::run(&of(Some(page.clone()))).expect_err("no page")).contains("page.md"));
@@ -366,19 +375,19 @@
     let points = figures.iter().flat_map(|(x, ys)| ys.iter().zip(1..).map(|(y, k)| point(named, *x, *y, k)));
     let series = fit::series(&points.collect::<Vec<_>>(), "", "");
     assert_eq!(series[0].medians(), [(1000.0, 0.015), (5000.0, 0.05), (9000.0, 0.5)]);
-    assert_eq!(series[0].spread(5000.0), (0.02, 1.5));
-    let (met, how) = kelpdoor_lab::scale::plan::meets(&series[0], 0.23, true);
+    assert_eq!(series[0].range(5000.0), (0.02, 1.5));
+    let (met, how) = kelpdoor_lab::scale::plan::crossing(&series[0], 0.23, true);
     near(met.expect("met"), 6600.0);
     assert_eq!(how, "measured, between 5,000 and 9,000");
-    let doubt = |at: f64| kelpdoor_lab::scale::plan::doubt(&series[0], 0.23, true, at);
+    let doubt = |at: f64| kelpdoor_lab::scale::plan::uncertainty(&series[0], 0.23, true, at);
     assert_eq!(doubt(4000.0), None);
     assert_eq!(doubt(5000.0).as_deref(), Some("seeds on both sides at 5,000"));
     assert_eq!(doubt(1e9).as_deref(), Some("seeds on both sides at 5,000; 9,000"));
     let mut fewer = series[0].clone();
     fewer.points.retain(|p| p.0 != 1000.0 || p.2 == 1);
-    let doubt = kelpdoor_lab::scale::plan::doubt(&fewer, 10.0, true, 1000.0);
+    let doubt = kelpdoor_lab::scale::plan::uncertainty(&fewer, 10.0, true, 1000.0);
     assert_eq!(doubt.as_deref(), Some("no figure of some seeds at 1,000"));
-    assert_eq!(kelpdoor_lab::scale::plan::meets(&series[0], 0.001, true).0, Some(1000.0));
+    assert_eq!(kelpdoor_lab::scale::plan::crossing(&series[0], 0.001, true).0, Some(1000.0));
     let two = [point(named, 1.0, 1.0, 1), point(named, 1.0, 3.0, 2)];
     assert_eq!(fit::series(&two, "", "")[0].medians(), [(1.0, 2.0)]);
 }
--- a/crates/kelpdoor-lab/tests/scale.rs
+++ b/crates/kelpdoor-lab/tests/scale.rs
@@ -4,18 +4,26 @@
 use std::time::{Duration, Instant};
 
 use kelpdoor_lab::scale::points::Points;
-use kelpdoor_lab::scale::simulate::{Outcome, Plan, loop_cost, simulate};
+use kelpdoor_lab::scale::simulate::{Outcome, SimulationPlan, director_loop_cost, simulate};
 use kelpdoor_lab::scale::{Scale, changes, process, voters};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_kelpdoor-lab");
 
-fn plan() -> Plan {
+fn plan() -> SimulationPlan {
     let (directors, voters, contradiction, rate) = (12, 5, 2.0, 0.58);
-    Plan { seed: 1, directors, voters, contradiction, rate, span: 30.0, ..Plan::default() }
+    SimulationPlan {
+        seed: 1,
+        directors,
+        voters,
+        contradiction,
+        rate,
+        span: 30.0,
+        ..SimulationPlan::default()
+    }
 }
 
 /// Virtual time is bounded by the plan; this is for what would never end.
-fn play(plan: &Plan) -> Outcome {
+fn play(plan: &SimulationPlan) -> Outcome {
     let o = simulate(plan, Instant::now() + Duration::from_secs(120));
     assert!(!o.cut_short, "{plan:?}");
     o
@@ -29,7 +37,7 @@
         within: 100.0,
         keep: false,
         note: String::new(),
-        what: None,
+        measurement: None,
     }
 }
 
@@ -39,48 +47,71 @@
 
 #[test]
 fn changes_come_into_force_and_nobody_acts_on_an_older_version_after_a_newer_one() {
-    for plan in [plan(), Plan { contradiction: 8.0, ..plan() }, Plan { rate: 0.0, burst: 10, ..plan() }] {
+    for plan in [
+        plan(),
+        SimulationPlan { contradiction: 8.0, ..plan() },
+        SimulationPlan { rate: 0.0, burst: 10, ..plan() },
+    ] {
         let o = play(&plan);
         assert_eq!(o.older_alone, 0.0, "{plan:?}");
         assert!(o.mixed <= plan.contradiction, "{plan:?}: {}", o.mixed);
-        assert_eq!((o.parts.len(), o.never, o.given_up), (12, 0, 0), "{plan:?}");
-        assert!(o.parts.iter().all(|p| (0.0..=1.0).contains(p)), "{plan:?}: {:?}", o.parts);
-        assert!(o.proposals > 0 && o.decided.len() == o.force.len() && o.known.len() == o.force.len());
-        assert!(o.known.iter().zip(&o.force).all(|(k, f)| 0.0 < *k && k <= f), "{plan:?}");
-        assert!(plan.burst == 0 || o.decided.len() == 10);
-        assert!(o.bytes > 0.0 && o.questions > 0.0 && o.words > 0.0 && o.refused.is_empty());
+        assert_eq!((o.begin_fractions.len(), o.not_in_force, o.given_up), (12, 0, 0), "{plan:?}");
+        assert!(
+            o.begin_fractions.iter().all(|p| (0.0..=1.0).contains(p)),
+            "{plan:?}: {:?}",
+            o.begin_fractions
+        );
+        assert!(
+            o.proposals > 0
+                && o.decision_times.len() == o.in_force_delays.len()
+                && o.known_delays.len() == o.in_force_delays.len()
+        );
+        assert!(o.known_delays.iter().zip(&o.in_force_delays).all(|(k, f)| 0.0 < *k && k <= f), "{plan:?}");
+        assert!(plan.burst == 0 || o.decision_times.len() == 10);
+        assert!(o.bytes > 0.0 && o.questions > 0.0 && o.messages > 0.0 && o.refused.is_empty());
     }
 }
 
 #[test]
 fn a_simulation_is_the_same_again_with_the_same_seed() {
     let (a, b) = (play(&plan()), play(&plan()));
-    assert_eq!((a.parts, a.force, a.events), (b.parts, b.force, b.events));
+    assert_eq!(
+        (a.begin_fractions, a.in_force_delays, a.events),
+        (b.begin_fractions, b.in_force_delays, b.events)
+    );
 }
 
 #[test]
 fn who_has_no_change_begins_all_the_time_and_who_is_cut_off_does_not() {
-    let calm = play(&Plan { rate: 0.0, ..plan() });
-    assert!(calm.parts.iter().all(|p| *p > 0.999_999), "{:?}", calm.parts);
-    let cut = play(&Plan { cut: true, directors: 10, span: 60.0, ..plan() });
+    let calm = play(&SimulationPlan { rate: 0.0, ..plan() });
+    assert!(calm.begin_fractions.iter().all(|p| *p > 0.999_999), "{:?}", calm.begin_fractions);
+    let cut = play(&SimulationPlan { cut: true, directors: 10, span: 60.0, ..plan() });
     // A lease that was had runs out.
-    assert!(cut.cut.len() == 2 && cut.cut.iter().all(|p| *p <= 1.1 / 60.0), "{:?}", cut.cut);
-    assert!(cut.parts.len() == 8 && cut.parts.iter().all(|p| *p > 0.5), "{:?}", cut.parts);
-    assert_eq!((cut.again.len(), cut.never, cut.older_alone), (2, 0, 0.0));
-    assert!(cut.healing > 0.0 && cut.beside > 0.0);
+    assert!(
+        cut.cut_begin_fractions.len() == 2 && cut.cut_begin_fractions.iter().all(|p| *p <= 1.1 / 60.0),
+        "{:?}",
+        cut.cut_begin_fractions
+    );
+    assert!(
+        cut.begin_fractions.len() == 8 && cut.begin_fractions.iter().all(|p| *p > 0.5),
+        "{:?}",
+        cut.begin_fractions
+    );
+    assert_eq!((cut.recovery_times.len(), cut.not_in_force, cut.older_alone), (2, 0, 0.0));
+    assert!(cut.healing_bytes > 0.0 && cut.uncut_bytes > 0.0);
 }
 
 #[test]
 fn bytes_go_with_the_change_and_a_lease_that_voters_refuse_is_told() {
-    let of = |document| play(&Plan { document, directors: 4, span: 10.0, ..plan() });
+    let of = |document| play(&SimulationPlan { document, directors: 4, span: 10.0, ..plan() });
     let (small, large) = (of(2_000), of(20_000));
     // Ten times the document, the same changes: told as chains they cost the same.
     assert!(0.0 < small.documents && small.documents < small.bytes);
     assert!((large.documents - small.documents).abs() < 0.05 * small.documents, "{small:?} {large:?}");
-    let refused = play(&Plan { contradiction: 60.0, ..plan() });
-    assert!(refused.parts.iter().all(|p| *p == 0.0));
+    let refused = play(&SimulationPlan { contradiction: 60.0, ..plan() });
+    assert!(refused.begin_fractions.iter().all(|p| *p == 0.0));
     assert!(refused.refused.keys().all(|why| why.contains("a lease of 30 s")) && !refused.refused.is_empty());
-    assert!(loop_cost(3, 2.0, 2_000, 2.0) > 0.0);
+    assert!(director_loop_cost(3, 2.0, 2_000, 2.0) > 0.0);
 }
 
 #[test]
@@ -88,7 +119,9 @@
     let u = process::usage(std::process::id()).expect("ours");
     assert!(u.memory > 1e6 && u.descriptors >= 3.0 && u.core >= 0.0);
     assert!(process::usage(u32::MAX).is_err());
-    assert!(process::most_descriptors().expect("a limit") >= 64 && process::load().expect("a load") >= 0.0);
+    assert!(
+        process::max_descriptors().expect("a limit") >= 64 && process::load_average().expect("a load") >= 0.0
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/kelpdoor-lab/tests/sessions.rs
+++ b/crates/kelpdoor-lab/tests/sessions.rs
@@ -8,7 +8,7 @@
 
 fn scale(within: f64) -> Scale {
     let json = PathBuf::from("not written");
-    Scale { sizes: vec![], seeds: 1, json, note: String::new(), keep: false, within, what: None }
+    Scale { sizes: vec![], seeds: 1, json, note: String::new(), keep: false, within, measurement: None }
 }
 
 fn small() -> Options {
