--- a/crates/kelpdoor-lab/src/scale.rs
+++ b/crates/kelpdoor-lab/src/scale.rs
@@ -1,4 +1,4 @@
-//! What each role costs as a fleet grows: measured at several sizes, fitted, and worked out for any fleet.
+//! Resource use of each role as a fleet grows: measured at several sizes, fitted, and predicted for a target fleet.
 
 pub mod changes;
 pub mod fit;
@@ -17,25 +17,25 @@
 use anyhow::{Context, Result};
 use clap::{Args, Subcommand};
 
-/// `kelpdoor-lab scale`: all that is measured, and what is worked out from it.
+/// `kelpdoor-lab scale`: measures resource use by fleet size and predicts it for a target fleet.
 #[derive(Args, Clone, Debug)]
 pub struct Scale {
-    /// Sizes measured at, in directors.
+    /// Fleet sizes to measure, in directors.
     #[arg(long, value_delimiter = ',', default_values_t = [300, 1000, 3000, 5800])]
     pub sizes: Vec<usize>,
-    /// Seeds, from 1 on.
+    /// Number of seeds, starting at 1.
     #[arg(long, default_value_t = 3)]
     pub seeds: u64,
-    /// What was measured is written there, with slopes and intervals.
+    /// Output file for the measurements, with slopes and intervals.
     #[arg(long, default_value = "docs/capacity.json")]
     pub json: PathBuf,
-    /// Written beside the figures, e.g. the commit and what ran beside them.
+    /// Note stored with the figures, for example the commit and the other load on the machine.
     #[arg(long, default_value = "")]
     pub note: String,
-    /// What one measurement alone brings is put into that file, too, and stands for what it had of the same name.
+    /// Also stores the result of a single measurement in the output file, replacing series of the same name.
     #[arg(long)]
     pub keep: bool,
-    /// s; what is not measured by then is left out, and the result is marked partial.
+    /// Time limit in seconds; whatever is not measured by then is left out and the result is marked partial.
     #[arg(long, default_value_t = 1200.0)]
     pub within: f64,
     #[command(subcommand)]
@@ -44,43 +44,45 @@
 
 #[derive(Subcommand, Clone, Debug)]
 pub enum Measurement {
-    /// Real voters under hollow directors: processor time, memory, bytes, time of an answer.
+    /// Measures real voters under hollow directors: processor time, memory, bytes and response time.
     Voters(voters::Options),
-    /// Changes of the rules: how much of the time directors may begin sessions, and how fast a change is in force.
+    /// Measures changes of the rules: the fraction of time directors may begin sessions, and the time until a change is in force.
     Changes(changes::Options),
-    /// A real director with many sessions held.
+    /// Measures a real director that holds many sessions.
     Sessions(sessions::Options),
-    /// Hollow directors, as `voters` starts them.
+    /// Runs hollow directors; started by `voters`.
     #[command(hide = true)]
     Hollow,
-    /// Adds what a run wrote by its `--points` to what is kept, in place of what is there of the same name.
+    /// Adds points written by `--points` to the stored measurements, replacing series of the same name.
     Add { points: PathBuf },
-    /// Works out a fleet's page from what was measured.
+    /// Generates the capacity page of a target fleet from the stored measurements.
     Plan(plan::Options),
 }
 
+/// Runs one measurement, or all of them if none is named.
+///
 /// # Errors
-/// What could not be measured, or read.
-pub async fn run(of: Scale) -> Result<()> {
-    let part = match &of.measurement {
-        Some(Measurement::Voters(o)) => voters::measure(&of, o).await?,
-        Some(Measurement::Changes(o)) => changes::measure(&of, o).await?,
-        Some(Measurement::Sessions(o)) => sessions::measure(&of, o).await?,
+/// A measurement fails, or a file cannot be read or written.
+pub async fn run(options: Scale) -> Result<()> {
+    let points = match &options.measurement {
+        Some(Measurement::Voters(o)) => voters::measure(&options, o).await?,
+        Some(Measurement::Changes(o)) => changes::measure(&options, o).await?,
+        Some(Measurement::Sessions(o)) => sessions::measure(&options, o).await?,
         Some(Measurement::Hollow) => return hollow::run_process().await,
         Some(Measurement::Add { points }) => {
             let text = std::fs::read(points).with_context(|| points.display().to_string())?;
             let points = serde_json::from_slice(&text).with_context(|| points.display().to_string())?;
-            return fit::add(&of.json, &points, &of.note);
+            return fit::add(&options.json, &points, &options.note);
         }
         Some(Measurement::Plan(o)) => return plan::run(o),
         None => {
-            let mut all = voters::measure(&of, &voters::Options::default()).await?;
-            all.merge(changes::measure(&of, &changes::Options::default()).await?);
-            all.merge(sessions::measure(&of, &sessions::Options::default()).await?);
+            let mut all = voters::measure(&options, &voters::Options::default()).await?;
+            all.merge(changes::measure(&options, &changes::Options::default()).await?);
+            all.merge(sessions::measure(&options, &sessions::Options::default()).await?);
             points::print_table(&all);
-            return fit::write(&of.json, &all, &of.note);
+            return fit::write(&options.json, &all, &options.note);
         }
     };
-    points::print_table(&part);
-    if of.keep { fit::add(&of.json, &part, &of.note) } else { Ok(()) }
+    points::print_table(&points);
+    if options.keep { fit::add(&options.json, &points, &options.note) } else { Ok(()) }
 }
--- a/crates/kelpdoor-lab/src/scale/fit.rs
+++ b/crates/kelpdoor-lab/src/scale/fit.rs
@@ -1,4 +1,4 @@
-//! Slopes with their intervals, and the file that keeps them.
+//! Least-squares fits with confidence intervals, and the file that stores them.
 
 use std::path::Path;
 
@@ -9,45 +9,45 @@
 
 use super::points::{Point, Points};
 
-/// Of a two-sided 95% interval.
-const QUANTILE: f64 = 0.975;
-/// Sizes; with fewer a line shows no bend, as too little is left to see it by.
-const FEW: usize = 4;
-/// Of the rise over all sizes; a bow under this is there, but changes no conclusion.
-const BOW: f64 = 0.05;
+/// Quantile of a two-sided 95% interval.
+const INTERVAL_QUANTILE: f64 = 0.975;
+/// Fewer sizes leave too few degrees of freedom to detect a bend.
+const MIN_SIZES_FOR_BEND: usize = 4;
+/// A bend below this fraction of the rise over all sizes changes no conclusion and is not reported.
+const MIN_BEND_FRACTION: f64 = 0.05;
 
 /// A least-squares line `a + b·x`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LinearFit {
     pub a: f64,
     pub b: f64,
-    /// 95% intervals; none with under three points.
+    /// 95% intervals; `None` with fewer than three points.
     pub a_within: Option<(f64, f64)>,
     pub b_within: Option<(f64, f64)>,
     pub sizes: usize,
     pub seeds: usize,
-    /// Standard deviation of what the line leaves, in the unit of `y`.
+    /// Residual standard deviation, in the unit of `y`.
     pub residual: f64,
-    /// How the sizes show that it is no line.
+    /// How the points deviate from a straight line; `None` if no bend is detected.
     pub bends: Option<String>,
-    /// Why no bend could show.
+    /// There are too few sizes to detect a bend.
     pub too_few: bool,
-    /// Mean of the sizes, and the sum of the squares about it.
+    /// Mean of the sizes, and the sum of squared deviations from it.
     mean: f64,
     spread: f64,
     points: usize,
 }
 
-fn student(freedom: usize) -> Option<f64> {
-    let t = StudentsT::new(0.0, 1.0, freedom as f64).ok().filter(|_| freedom > 0)?;
-    Some(t.inverse_cdf(QUANTILE))
+fn student_quantile(degrees_of_freedom: usize) -> Option<f64> {
+    let t = StudentsT::new(0.0, 1.0, degrees_of_freedom as f64).ok().filter(|_| degrees_of_freedom > 0)?;
+    Some(t.inverse_cdf(INTERVAL_QUANTILE))
 }
 
 fn mean(of: impl Iterator<Item = f64> + Clone) -> f64 {
     of.clone().sum::<f64>() / of.count().max(1) as f64
 }
 
-/// Slope and its interval, of points that stand apart.
+/// Slope and its 95% interval; `None` if all sizes are equal.
 fn slope(of: &[(f64, f64)]) -> Option<(f64, Option<(f64, f64)>)> {
     let (mx, my) = (mean(of.iter().map(|p| p.0)), mean(of.iter().map(|p| p.1)));
     let spread: f64 = of.iter().map(|p| (p.0 - mx).powi(2)).sum();
@@ -55,13 +55,13 @@
         return None;
     }
     let b = of.iter().map(|p| (p.0 - mx) * (p.1 - my)).sum::<f64>() / spread;
-    let left: f64 = of.iter().map(|p| (p.1 - my - b * (p.0 - mx)).powi(2)).sum();
-    let error = (left / of.len().saturating_sub(2).max(1) as f64 / spread).sqrt();
-    Some((b, student(of.len().saturating_sub(2)).map(|t| (b - t * error, b + t * error))))
+    let squared_residuals: f64 = of.iter().map(|p| (p.1 - my - b * (p.0 - mx)).powi(2)).sum();
+    let margin = (squared_residuals / of.len().saturating_sub(2).max(1) as f64 / spread).sqrt();
+    Some((b, student_quantile(of.len().saturating_sub(2)).map(|t| (b - t * margin, b + t * margin))))
 }
 
 impl LinearFit {
-    /// Through the points of one series; `None` where there are not two sizes.
+    /// Fits a line to the points of one series; `None` with fewer than two sizes.
     pub fn fit(points: &[(f64, f64, u64)]) -> Option<LinearFit> {
         let xy: Vec<(f64, f64)> = points.iter().map(|p| (p.0, p.1)).collect();
         let (b, b_within) = slope(&xy)?;
@@ -69,8 +69,8 @@
         let (mx, my) = (mean(xy.iter().map(|p| p.0)), mean(xy.iter().map(|p| p.1)));
         let spread: f64 = xy.iter().map(|p| (p.0 - mx).powi(2)).sum();
         let a = my - b * mx;
-        let left: f64 = xy.iter().map(|p| (p.1 - a - b * p.0).powi(2)).sum();
-        let residual = (left / n.saturating_sub(2).max(1) as f64).sqrt();
+        let squared_residuals: f64 = xy.iter().map(|p| (p.1 - a - b * p.0).powi(2)).sum();
+        let residual = (squared_residuals / n.saturating_sub(2).max(1) as f64).sqrt();
         let mut sizes: Vec<f64> = xy.iter().map(|p| p.0).collect();
         sizes.sort_by(f64::total_cmp);
         sizes.dedup();
@@ -86,35 +86,36 @@
             seeds: seeds.len(),
             residual,
             bends: None,
-            too_few: sizes.len() < FEW,
+            too_few: sizes.len() < MIN_SIZES_FOR_BEND,
             mean: mx,
             spread,
             points: n,
         };
         line.a_within = line.interval_at(0.0);
         if !line.too_few {
-            line.bends = bow(&xy, &line).or_else(|| halves(&xy, &sizes));
+            line.bends = detect_curvature(&xy, &line).or_else(|| detect_slope_change(&xy, &sizes));
         }
         Some(line)
     }
 
+    /// Value of the line at `x`.
     pub fn value_at(&self, x: f64) -> f64 {
         self.a + self.b * x
     }
 
-    /// 95% interval of the line there.
+    /// 95% interval of the line at `x`.
     pub fn interval_at(&self, x: f64) -> Option<(f64, f64)> {
-        let t = student(self.points.saturating_sub(2))?;
-        let away = 1.0 / self.points as f64 + (x - self.mean).powi(2) / self.spread;
-        let error = t * self.residual * away.sqrt();
-        Some((self.value_at(x) - error, self.value_at(x) + error))
+        let t = student_quantile(self.points.saturating_sub(2))?;
+        let leverage = 1.0 / self.points as f64 + (x - self.mean).powi(2) / self.spread;
+        let margin = t * self.residual * leverage.sqrt();
+        Some((self.value_at(x) - margin, self.value_at(x) + margin))
     }
 }
 
-/// A square term whose interval leaves out 0, and which is not too small to matter.
-fn bow(xy: &[(f64, f64)], line: &LinearFit) -> Option<String> {
+/// Detects a quadratic term whose interval excludes 0 and which is large enough to matter.
+fn detect_curvature(xy: &[(f64, f64)], line: &LinearFit) -> Option<String> {
     let scale = xy.iter().map(|p| (p.0 - line.mean).abs()).fold(0.0, f64::max);
-    // The square, less what a line can say of it.
+    // The quadratic term, orthogonal to the line.
     let us: Vec<f64> = xy.iter().map(|p| (p.0 - line.mean) / scale).collect();
     let squares: Vec<(f64, f64)> = us.iter().map(|u| (*u, u * u)).collect();
     let (along, _) = slope(&squares)?;
@@ -124,31 +125,31 @@
     if spread <= 1e-12 {
         return None;
     }
-    let left: Vec<f64> = xy.iter().map(|p| p.1 - line.value_at(p.0)).collect();
-    let term = rest.iter().zip(&left).map(|(q, e)| q * e).sum::<f64>() / spread;
-    let sum: f64 = rest.iter().zip(&left).map(|(q, e)| (e - term * q).powi(2)).sum();
-    let freedom = xy.len().saturating_sub(3);
-    let error = student(freedom)? * (sum / freedom as f64 / spread).sqrt();
+    let residuals: Vec<f64> = xy.iter().map(|p| p.1 - line.value_at(p.0)).collect();
+    let term = rest.iter().zip(&residuals).map(|(q, e)| q * e).sum::<f64>() / spread;
+    let sum: f64 = rest.iter().zip(&residuals).map(|(q, e)| (e - term * q).powi(2)).sum();
+    let degrees_of_freedom = xy.len().saturating_sub(3);
+    let margin = student_quantile(degrees_of_freedom)? * (sum / degrees_of_freedom as f64 / spread).sqrt();
     let highest = xy.iter().map(|p| p.1).fold(f64::NEG_INFINITY, f64::max);
     let lowest = xy.iter().map(|p| p.1).fold(f64::INFINITY, f64::min);
-    let matters = term.abs() > BOW * (highest - lowest);
-    (matters && term.abs() > error)
+    let matters = term.abs() > MIN_BEND_FRACTION * (highest - lowest);
+    (matters && term.abs() > margin)
         .then(|| format!("{} with size", if term > 0.0 { "upwards" } else { "downwards" }))
 }
 
-/// The slope of the upper half of the sizes lies outside the lower half's interval.
-fn halves(xy: &[(f64, f64)], sizes: &[f64]) -> Option<String> {
+/// Detects a slope of the upper half of the sizes that lies outside the interval of the lower half.
+fn detect_slope_change(xy: &[(f64, f64)], sizes: &[f64]) -> Option<String> {
     let middle = sizes[sizes.len() / 2];
     let (lower, upper): (Vec<_>, Vec<_>) = xy.iter().partition(|p| p.0 < middle);
     let (below, within) = slope(&lower)?;
     let (above, _) = slope(&upper)?;
     let (low, high) = within?;
-    let apart = (above - below).abs() > BOW * below.abs().max(above.abs());
+    let apart = (above - below).abs() > MIN_BEND_FRACTION * below.abs().max(above.abs());
     (apart && !(low..=high).contains(&above))
         .then(|| format!("slope {below:.3e} in the lower half of the sizes, {above:.3e} in the upper"))
 }
 
-/// Points that differ in size and seed alone.
+/// Points that differ only in size and seed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Series {
     pub role: String,
@@ -157,13 +158,13 @@
     pub by: String,
     pub at: String,
     pub hollow: String,
-    /// Of the measurement: day, version and a note.
+    /// Date, version and note of the measurement.
     pub date: String,
     pub version: String,
     #[serde(default)]
     pub note: String,
     pub line: Option<LinearFit>,
-    /// Size, figure, seed.
+    /// Size, value and seed of each point.
     pub points: Vec<(f64, f64, u64)>,
 }
 
@@ -172,7 +173,7 @@
         [&self.role, &self.what, &self.unit, &self.by, &self.at, &self.hollow]
     }
 
-    /// The median of each size, from the least up.
+    /// The median of each size, in ascending order of size.
     pub fn medians(&self) -> Vec<(f64, f64)> {
         let mut all: Vec<(f64, f64)> = self.points.iter().map(|p| (p.0, p.1)).collect();
         all.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -180,25 +181,26 @@
         all.chunk_by(|a, b| a.0 == b.0).map(|of| (of[0].0, middle(of))).collect()
     }
 
-    /// The least and the most of the seeds at a size.
+    /// Minimum and maximum over the seeds at size `x`.
     pub fn range(&self, x: f64) -> (f64, f64) {
         let at = self.points.iter().filter(|p| p.0 == x);
         at.fold((f64::INFINITY, f64::NEG_INFINITY), |(low, high), p| (low.min(p.1), high.max(p.1)))
     }
 }
 
-/// Where it was measured.
+/// The machine that ran the measurement.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
     pub cores: usize,
-    /// B
+    /// Bytes.
     pub memory: f64,
     pub processor: String,
-    /// That a process may hold.
+    /// Limit of open file descriptors of a process.
     pub descriptors: u64,
 }
 
 impl Machine {
+    /// Describes the machine that runs this process.
     fn current() -> Machine {
         let read = |path: &str| std::fs::read_to_string(path).unwrap_or_default();
         let line = |text: &str, name: &str| {
@@ -215,24 +217,24 @@
     }
 }
 
-/// All that was measured, as `docs/capacity.json` keeps it.
+/// All measurements, as stored in `docs/capacity.json`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CapacityData {
-    /// Of the last measurement in it.
+    /// Version, date and note of the latest measurement.
     pub version: String,
     pub date: String,
     pub note: String,
     pub machine: Machine,
-    /// What is missing, and why.
+    /// Why points are missing, one entry for each cause.
     pub partial: Vec<String>,
     pub series: Vec<Series>,
 }
 
-/// Series by series, in the order in which they came, each with its line.
-pub fn series(of: &[Point], date: &str, note: &str) -> Vec<Series> {
+/// Groups points into series, in the order of first appearance, and fits a line to each.
+pub fn series(points: &[Point], date: &str, note: &str) -> Vec<Series> {
     let mut all: Vec<Series> = Vec::new();
-    for p in of.iter().filter(|p| p.x.is_finite() && p.y.is_finite()) {
+    for p in points.iter().filter(|p| p.x.is_finite() && p.y.is_finite()) {
         let key: [&str; 6] = [&p.role, &p.what, &p.unit, &p.by, &p.at, &p.hollow];
         let at = all.iter().position(|s| s.key() == key).unwrap_or_else(|| {
             let [role, what, unit, by, at, hollow] = key.map(str::to_owned);
@@ -252,19 +254,20 @@
 }
 
 impl CapacityData {
-    pub fn new(of: &Points, note: &str) -> CapacityData {
+    /// Measurements of one run on this machine, dated today.
+    pub fn new(points: &Points, note: &str) -> CapacityData {
         let date = Timestamp::now().strftime("%Y-%m-%d").to_string();
         CapacityData {
             version: env!("CARGO_PKG_VERSION").to_owned(),
-            series: series(&of.points, &date, note),
+            series: series(&points.points, &date, note),
             date,
             note: note.to_owned(),
             machine: Machine::current(),
-            partial: of.partial.clone(),
+            partial: points.partial.clone(),
         }
     }
 
-    /// Takes in a later measurement: its series stand for those of the same name, the others stay.
+    /// Merges a later measurement: its series replace those with the same key, other series stay.
     pub fn merge(&mut self, later: CapacityData) {
         let CapacityData { version, date, note, machine, partial, series } = later;
         (self.version, self.date, self.note, self.machine) = (version, date, note, machine);
@@ -279,34 +282,36 @@
         self.partial.dedup();
     }
 
+    /// Reads a measurement file.
+    ///
     /// # Errors
-    /// Where the file cannot be read, or is no such file.
-    pub fn read(from: &Path) -> Result<CapacityData> {
-        let text = std::fs::read(from).with_context(|| from.display().to_string())?;
-        serde_json::from_slice(&text).with_context(|| from.display().to_string())
+    /// The file cannot be read or parsed.
+    pub fn read(path: &Path) -> Result<CapacityData> {
+        let text = std::fs::read(path).with_context(|| path.display().to_string())?;
+        serde_json::from_slice(&text).with_context(|| path.display().to_string())
     }
 }
 
-/// Writes all anew: series, lines, and what is missing.
+/// Replaces the file with the measurements of this run.
 ///
 /// # Errors
-/// Where the file cannot be written.
-pub fn write(to: &Path, of: &Points, note: &str) -> Result<()> {
-    put(to, &CapacityData::new(of, note))
+/// The file cannot be written.
+pub fn write(path: &Path, points: &Points, note: &str) -> Result<()> {
+    write_data(path, &CapacityData::new(points, note))
 }
 
-/// Adds to what the file has.
+/// Merges the measurements of this run into the file.
 ///
 /// # Errors
-/// Where the file cannot be read or written.
-pub fn add(to: &Path, of: &Points, note: &str) -> Result<()> {
-    let mut book = if to.exists() { CapacityData::read(to)? } else { CapacityData::default() };
-    book.merge(CapacityData::new(of, note));
-    put(to, &book)
+/// The file cannot be read or written.
+pub fn add(path: &Path, points: &Points, note: &str) -> Result<()> {
+    let mut data = if path.exists() { CapacityData::read(path)? } else { CapacityData::default() };
+    data.merge(CapacityData::new(points, note));
+    write_data(path, &data)
 }
 
-fn put(to: &Path, book: &CapacityData) -> Result<()> {
-    let mut text = serde_json::to_string_pretty(book)?;
+fn write_data(path: &Path, data: &CapacityData) -> Result<()> {
+    let mut text = serde_json::to_string_pretty(data)?;
     text.push('\n');
-    std::fs::write(to, text).with_context(|| to.display().to_string())
+    std::fs::write(path, text).with_context(|| path.display().to_string())
 }
--- a/crates/kelpdoor-lab/src/scale/plan/formatting.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/formatting.rs
@@ -1,9 +1,9 @@
-//! Figures and tables as a page has them.
+//! Formatting of numbers and tables on the generated page.
 
-/// Three digits that count, thousands set apart.
+/// Three significant digits with thousands separators.
 pub fn number(x: f64) -> String {
     let size = x.abs();
-    // What sums leave of nothing.
+    // Rounding error of sums that are zero.
     if size < 1e-9 {
         return "0".into();
     }
@@ -19,9 +19,9 @@
     trim(x)
 }
 
-/// Without the digits that say nothing.
+/// Rounds to three significant digits and drops trailing zeros.
 fn trim(x: f64) -> String {
-    // Rounded first: a step up may need a digit less.
+    // Rounds first, as rounding up may leave one decimal place less.
     let last = 10f64.powi(x.abs().log10().floor() as i32 - 2);
     let x = if x.abs() < 1000.0 { (x / last).round() * last } else { x };
     let size = x.abs();
@@ -43,7 +43,7 @@
     if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.').to_owned() } else { text }
 }
 
-/// With its unit, in steps of a thousand where it has such.
+/// A value with its unit, scaled by powers of 1000 or to a longer unit of time.
 pub fn figure(x: f64, unit: &str) -> String {
     let bytes = |x: f64, more: &str| {
         let size = x.abs();
@@ -70,7 +70,7 @@
     }
 }
 
-/// A table in Markdown.
+/// A Markdown table.
 pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let line = |cells: Vec<String>| {
         let cells: Vec<String> = cells.iter().map(|c| c.replace('|', "/").replace('\n', " ")).collect();
--- a/crates/kelpdoor-lab/src/scale/plan/roles.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/roles.rs
@@ -1,126 +1,128 @@
-//! What each role holds, says and costs: a row for each, measured or not.
+//! The table of roles: one row for each quantity of a role, measured or not.
 
-use super::formatting::{figure, number, table as show};
-use super::worked;
+use super::estimate;
+use super::formatting::{figure, number, table as markdown_table};
 use crate::scale::fit::{CapacityData, Series};
 use crate::scale::target::FleetTarget;
 
-/// What a figure is held against.
+/// The bound that a value is compared with.
 #[derive(Clone, Copy)]
-pub enum Against {
+pub enum Bound {
     Nothing,
-    /// Budgets for control of one director.
+    /// Budget of control traffic of one director.
     Bytes,
-    /// The same where a series counts all directors together: what one more adds is held against it.
+    /// Budgets of one director for series that sum over all directors; compared with the slope.
     CoreEach,
     MemoryEach,
-    /// A voter decides on one thread.
+    /// A voter runs on one thread.
     OneCore,
-    /// What a process may hold where it was measured.
+    /// Limit of open descriptors on the machine that ran the measurement.
     Descriptors,
     Delivery,
     InForce,
-    /// At least: of the time, directors may begin sessions.
+    /// Lower bound on the fraction of time in which directors may begin sessions.
     Begin,
 }
 
-/// Of the time without faults that directors may begin sessions; the goal of changes at the ordinary day's rate.
-pub const BEGIN: f64 = 0.999;
+/// Least fraction of the time without faults in which directors may begin sessions, at the ordinary rate of changes.
+pub const MIN_BEGIN_FRACTION: f64 = 0.999;
 
-impl Against {
-    /// The slope is held against the bound, not the figure.
-    pub fn each(self) -> bool {
-        matches!(self, Against::CoreEach | Against::MemoryEach)
+impl Bound {
+    /// Whether the bound applies to the slope instead of the value.
+    pub fn applies_to_slope(self) -> bool {
+        matches!(self, Bound::CoreEach | Bound::MemoryEach)
     }
 
     fn unit(self) -> &'static str {
         match self {
-            Against::Nothing => "",
-            Against::CoreEach | Against::OneCore => "core",
-            Against::MemoryEach => "B",
-            Against::Bytes => "B/s",
-            Against::Descriptors => "descriptors",
-            Against::Delivery | Against::InForce => "s",
-            Against::Begin => "of 1",
+            Bound::Nothing => "",
+            Bound::CoreEach | Bound::OneCore => "core",
+            Bound::MemoryEach => "B",
+            Bound::Bytes => "B/s",
+            Bound::Descriptors => "descriptors",
+            Bound::Delivery | Bound::InForce => "s",
+            Bound::Begin => "of 1",
         }
     }
 
-    /// The bound on a series of that unit, and whether it is met from below.
-    pub fn bound(self, target: &FleetTarget, book: &CapacityData, unit: &str) -> Option<(f64, bool)> {
-        let most = |x| Some((x, true));
+    /// The bound on a series of that unit, and whether it is an upper bound.
+    pub fn bound(self, target: &FleetTarget, data: &CapacityData, unit: &str) -> Option<(f64, bool)> {
+        let upper = |x| Some((x, true));
         if unit != self.unit() {
             return None;
         }
         match self {
-            Against::Nothing => None,
-            Against::CoreEach => most(target.budget.core),
-            Against::MemoryEach => most(target.budget.memory),
-            Against::Bytes => most(target.budget.bytes),
-            Against::OneCore => most(1.0),
-            Against::Descriptors if book.machine.descriptors == 0 => None,
-            Against::Descriptors => most(book.machine.descriptors as f64),
-            Against::Delivery => most(target.target.delivery_within),
-            Against::InForce => most(target.target.in_force_within),
-            Against::Begin => Some((BEGIN, false)),
+            Bound::Nothing => None,
+            Bound::CoreEach => upper(target.budget.core),
+            Bound::MemoryEach => upper(target.budget.memory),
+            Bound::Bytes => upper(target.budget.bytes),
+            Bound::OneCore => upper(1.0),
+            Bound::Descriptors if data.machine.descriptors == 0 => None,
+            Bound::Descriptors => upper(data.machine.descriptors as f64),
+            Bound::Delivery => upper(target.target.delivery_within),
+            Bound::InForce => upper(target.target.in_force_within),
+            Bound::Begin => Some((MIN_BEGIN_FRACTION, false)),
         }
     }
 
-    fn says(self, target: &FleetTarget, book: &CapacityData, unit: &str) -> String {
-        let Some((bound, most)) = self.bound(target, book, unit) else { return "none told".into() };
+    fn describe(self, target: &FleetTarget, data: &CapacityData, unit: &str) -> String {
+        let Some((bound, upper)) = self.bound(target, data, unit) else { return "none told".into() };
         let whose = match self {
-            Against::OneCore => " (one thread decides)",
-            Against::CoreEach | Against::MemoryEach => " for each",
-            Against::Descriptors => " (of a process, where it was measured)",
+            Bound::OneCore => " (one thread decides)",
+            Bound::CoreEach | Bound::MemoryEach => " for each",
+            Bound::Descriptors => " (of a process, where it was measured)",
             _ => "",
         };
-        format!("{} {}{whose}", if most { "at most" } else { "at least" }, figure(bound, unit))
+        format!("{} {}{whose}", if upper { "at most" } else { "at least" }, figure(bound, unit))
     }
 }
 
-/// A quantity of a role.
+/// Row of the table: a quantity of a role.
 pub struct Row {
     pub role: &'static str,
     pub what: &'static str,
-    /// The series that show it: role, start of the name, and by what they grow.
-    pub of: (&'static str, &'static str, &'static [&'static str]),
-    pub against: Against,
+    /// Selects the series of the row: role, prefix of the quantity, and units of the size.
+    pub series: (&'static str, &'static str, &'static [&'static str]),
+    pub bound: Bound,
+    /// Mechanism that carries the load.
     pub carried: &'static str,
+    /// Whether that mechanism exists.
     pub state: &'static str,
 }
 
 const IN_CODE: &str = "in the code";
-const LANDING: &str = "in this landing";
+const IN_THIS_RELEASE: &str = "in this landing";
 const MISSING: &str = "missing";
 const SESSIONS: &[&str] = &["sessions"];
 const MESSAGES: &[&str] = &["messages/s"];
 const NODES: &[&str] = &["nodes"];
 const DIRECTORS: &[&str] = &["directors"];
 const CHANGES: &[&str] = &["changes/s"];
-const FOLLOWS: &[&str] = &["changes/s", "directors", "document bytes"];
+const FOLLOWER_SIZES: &[&str] = &["changes/s", "directors", "document bytes"];
 
 const fn row(
-    role: &'static str, what: &'static str, of: (&'static str, &'static str, &'static [&'static str]),
-    against: Against, carried: &'static str, state: &'static str,
+    role: &'static str, what: &'static str, series: (&'static str, &'static str, &'static [&'static str]),
+    bound: Bound, carried: &'static str, state: &'static str,
 ) -> Row {
-    Row { role, what, of, against, carried, state }
+    Row { role, what, series, bound, carried, state }
 }
 
-use Against::{Begin, Bytes, CoreEach, Delivery, Descriptors, InForce, MemoryEach, Nothing, OneCore};
+use Bound::{Begin, Bytes, CoreEach, Delivery, Descriptors, InForce, MemoryEach, Nothing, OneCore};
 
-const DESK: &str = "the desk's tables, bounded by `players(sessions, sockets)`";
+const SESSION_TABLES: &str = "the desk's tables, bounded by `players(sessions, sockets)`";
 const LINKS: &str = "a link to each listed node; a part of the nodes for each director is not there";
 const FEED: &str = "the whole list once, then what changed";
 const FOLLOWER: &str = "a lease renewed with each voter";
-const LISTS: &str = "one answer a question, to each director by itself; relays are not there";
+const VOTER_ANSWERS: &str = "one answer a question, to each director by itself; relays are not there";
 
 pub const ROWS: &[Row] = &[
-    row("director: sessions", "memory", ("director", "memory", SESSIONS), Nothing, DESK, IN_CODE),
+    row("director: sessions", "memory", ("director", "memory", SESSIONS), Nothing, SESSION_TABLES, IN_CODE),
     row(
         "director: sessions",
         "processor time, held",
         ("director", "processor time", SESSIONS),
         Nothing,
-        DESK,
+        SESSION_TABLES,
         IN_CODE,
     ),
     row(
@@ -136,7 +138,7 @@
         "processor time of each begun",
         ("director", "time of a core for each session", SESSIONS),
         Nothing,
-        DESK,
+        SESSION_TABLES,
         IN_CODE,
     ),
     row(
@@ -208,7 +210,7 @@
     row(
         "director: follower",
         "control bytes",
-        ("director", "control bytes", FOLLOWS),
+        ("director", "control bytes", FOLLOWER_SIZES),
         Bytes,
         FOLLOWER,
         IN_CODE,
@@ -216,7 +218,7 @@
     row(
         "director: follower",
         "control messages",
-        ("director", "control messages", FOLLOWS),
+        ("director", "control messages", FOLLOWER_SIZES),
         Nothing,
         FOLLOWER,
         IN_CODE,
@@ -248,15 +250,15 @@
     row(
         "fleet: changes",
         "part of the time in which directors may begin",
-        ("fleet", "part of the time", FOLLOWS),
+        ("fleet", "part of the time", FOLLOWER_SIZES),
         Begin,
         "chains of versions; those learned together stand beside the newest together",
-        LANDING,
+        IN_THIS_RELEASE,
     ),
     row(
         "fleet: changes",
         "in force everywhere",
-        ("fleet", "in force everywhere", FOLLOWS),
+        ("fleet", "in force everywhere", FOLLOWER_SIZES),
         InForce,
         "each director asks by itself",
         IN_CODE,
@@ -264,7 +266,7 @@
     row(
         "fleet: changes",
         "known by all",
-        ("fleet", "known by all", FOLLOWS),
+        ("fleet", "known by all", FOLLOWER_SIZES),
         Nothing,
         "each director asks by itself",
         IN_CODE,
@@ -280,7 +282,7 @@
     row(
         "region cut off",
         "what its directors may begin, and healing",
-        ("cut director", "", FOLLOWS),
+        ("cut director", "", FOLLOWER_SIZES),
         Nothing,
         "what plays there plays on; scopes by region are not there",
         MISSING,
@@ -296,17 +298,31 @@
     row(
         "operator",
         "time until decided",
-        ("operator", "decided", FOLLOWS),
+        ("operator", "decided", FOLLOWER_SIZES),
         Nothing,
         "one decree of Paxos a version",
         IN_CODE,
     ),
-    row("voter", "questions", ("voter", "questions", FOLLOWS), Nothing, LISTS, IN_CODE),
-    row("voter", "processor time", ("voter", "processor time", FOLLOWS), OneCore, LISTS, IN_CODE),
-    row("voter", "memory", ("voter", "memory", FOLLOWS), Nothing, LISTS, IN_CODE),
-    row("voter", "bytes", ("voter", "bytes", FOLLOWS), Nothing, LISTS, IN_CODE),
-    row("voter", "descriptors", ("voter", "descriptors", FOLLOWS), Descriptors, LISTS, IN_CODE),
-    row("voter", "time of an answer", ("voter", "answer", FOLLOWS), Nothing, LISTS, IN_CODE),
+    row("voter", "questions", ("voter", "questions", FOLLOWER_SIZES), Nothing, VOTER_ANSWERS, IN_CODE),
+    row(
+        "voter",
+        "processor time",
+        ("voter", "processor time", FOLLOWER_SIZES),
+        OneCore,
+        VOTER_ANSWERS,
+        IN_CODE,
+    ),
+    row("voter", "memory", ("voter", "memory", FOLLOWER_SIZES), Nothing, VOTER_ANSWERS, IN_CODE),
+    row("voter", "bytes", ("voter", "bytes", FOLLOWER_SIZES), Nothing, VOTER_ANSWERS, IN_CODE),
+    row(
+        "voter",
+        "descriptors",
+        ("voter", "descriptors", FOLLOWER_SIZES),
+        Descriptors,
+        VOTER_ANSWERS,
+        IN_CODE,
+    ),
+    row("voter", "time of an answer", ("voter", "answer", FOLLOWER_SIZES), Nothing, VOTER_ANSWERS, IN_CODE),
     row(
         "voter, back after a restart",
         "time until directors are answered",
@@ -342,14 +358,15 @@
 ];
 
 impl Row {
-    pub fn shows(&self, s: &Series) -> bool {
-        let (role, what, by) = self.of;
+    /// Whether the series belongs to this row.
+    pub fn matches_series(&self, s: &Series) -> bool {
+        let (role, what, by) = self.series;
         s.role == role && s.what.starts_with(what) && by.contains(&s.by.as_str())
     }
 }
 
-/// `sessions` → `session`, `changes/s` → `change a second`.
-pub fn one(by: &str) -> String {
+/// Singular of a unit of size: `sessions` → `session`, `changes/s` → `change a second`.
+pub fn singular(by: &str) -> String {
     match by {
         "changes/s" => "change a second".into(),
         "messages/s" => "message a second".into(),
@@ -358,6 +375,7 @@
     }
 }
 
+/// Slope of a series with its interval, as printed.
 fn slope(s: &Series) -> String {
     let Some(line) = &s.line else { return "one size".into() };
     if s.unit == "of 1" {
@@ -366,7 +384,7 @@
             .as_ref()
             .map_or("no slope is told for a part of 1".into(), |b| format!("bends {b}"));
     }
-    let each = one(&s.by);
+    let each = singular(&s.by);
     let b = figure(line.b, &s.unit);
     let within = line.b_within.map_or("no interval".into(), |(low, high)| {
         format!("{} to {}", figure(low, &s.unit), figure(high, &s.unit))
@@ -375,6 +393,7 @@
     format!("{b} a {each} ({within}), from {}{bends}", figure(line.a, &s.unit))
 }
 
+/// Measured sizes and number of seeds, as printed.
 fn sizes(s: &Series) -> String {
     let all = s.medians();
     let seeds = s.line.as_ref().map_or(1, |l| l.seeds);
@@ -382,17 +401,18 @@
     format!("{} ({}), {seeds} {}", all.len(), list.join("; "), if seeds == 1 { "seed" } else { "seeds" })
 }
 
+/// Value at the size of the target, as printed.
 fn at_target(s: &Series, target: &FleetTarget) -> String {
     let Some(x) = target.size_for(&s.by) else { return "nothing in the target has this size".into() };
-    let Some(w) = worked(s, x) else { return "one size: not worked out".into() };
+    let Some(w) = estimate(s, x) else { return "one size: not worked out".into() };
     let within = w
         .within
         .map(|(low, high)| format!(" ({} to {})", figure(low.max(0.0), &s.unit), figure(high, &s.unit)));
     format!("{}{} at {} {}, {}", figure(w.y, &s.unit), within.unwrap_or_default(), number(x), s.by, w.how)
 }
 
-/// What a series was measured at, and what of it was hollow.
-pub fn named(s: &Series) -> String {
+/// Quantity, conditions and simulated parts of a series, as printed.
+pub fn describe_series(s: &Series) -> String {
     let mut out = s.what.clone();
     if !s.at.is_empty() {
         out += &format!("; {}", s.at);
@@ -403,10 +423,11 @@
     out
 }
 
-pub fn table(target: &FleetTarget, book: &CapacityData) -> String {
+/// The table of roles as Markdown, followed by the list of runs.
+pub fn table(target: &FleetTarget, data: &CapacityData) -> String {
     let mut rows = Vec::new();
     for row in ROWS {
-        let shown: Vec<&Series> = book.series.iter().filter(|s| row.shows(s)).collect();
+        let shown: Vec<&Series> = data.series.iter().filter(|s| row.matches_series(s)).collect();
         let end = format!("{}: {}", row.state, row.carried);
         if shown.is_empty() {
             let none = || "-".to_owned();
@@ -416,11 +437,11 @@
         for s in shown {
             rows.push(vec![
                 row.role.to_owned(),
-                named(s),
+                describe_series(s),
                 slope(s),
                 sizes(s),
                 at_target(s, target),
-                row.against.says(target, book, &s.unit),
+                row.bound.describe(target, data, &s.unit),
                 end.clone(),
             ]);
         }
@@ -434,8 +455,8 @@
         "budget",
         "carried by",
     ];
-    let mut out = show(&head, &rows);
-    let mut runs: Vec<String> = book
+    let mut out = markdown_table(&head, &rows);
+    let mut runs: Vec<String> = data
         .series
         .iter()
         .map(|s| {
@@ -451,7 +472,7 @@
     runs.sort();
     runs.dedup();
     out += "\nus/s: microseconds of one core's time in a second. A figure with an interval is on the fitted line.\n";
-    let m = &book.machine;
+    let m = &data.machine;
     if !runs.is_empty() {
         out += &format!(
             "\nMeasured on {} cores ({}) with {}. Runs:\n\n",
@@ -464,18 +485,19 @@
     out
 }
 
-/// What has no run, and what was measured and stands in no row.
-pub fn missing(_aim: &FleetTarget, book: &CapacityData) -> String {
+/// Rows without measurements, and measured series without a row.
+pub fn missing(_aim: &FleetTarget, data: &CapacityData) -> String {
     let mut out = String::new();
     for row in ROWS {
-        if !book.series.iter().any(|s| row.shows(s)) {
+        if !data.series.iter().any(|s| row.matches_series(s)) {
             out += &format!("- {}, {}: not measured\n", row.role, row.what);
         }
     }
-    for why in &book.partial {
+    for why in &data.partial {
         out += &format!("- partial: {why}\n");
     }
-    let other: Vec<&Series> = book.series.iter().filter(|s| !ROWS.iter().any(|r| r.shows(s))).collect();
+    let other: Vec<&Series> =
+        data.series.iter().filter(|s| !ROWS.iter().any(|r| r.matches_series(s))).collect();
     if !other.is_empty() {
         out += "\nMeasured besides, medians by size:\n\n";
         let rows: Vec<Vec<String>> = other
@@ -487,10 +509,10 @@
                     .map(|(x, y)| format!("{}: {}", number(*x), figure(*y, &s.unit)))
                     .collect::<Vec<_>>()
                     .join("; ");
-                vec![s.role.clone(), named(s), s.by.clone(), medians]
+                vec![s.role.clone(), describe_series(s), s.by.clone(), medians]
             })
             .collect();
-        out += &show(&["role", "what, and at what", "by", "figures"], &rows);
+        out += &markdown_table(&["role", "what, and at what", "by", "figures"], &rows);
     }
     if out.is_empty() { "Nothing.".into() } else { out }
 }
--- a/crates/kelpdoor-lab/src/scale/plan/terms.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/terms.rs
@@ -1,4 +1,4 @@
-//! From the users' words to ours.
+//! The table that maps the terms of the requirements to those of this software, with the derived quantities.
 
 use super::formatting::{figure, number};
 use crate::scale::target::{FleetTarget, SECONDS_PER_DAY};
@@ -106,6 +106,7 @@
     ]
 }
 
+/// The table of terms as Markdown.
 pub fn table(target: &FleetTarget) -> String {
     let rows: Vec<Vec<String>> = rows(target).into_iter().map(Vec::from).collect();
     super::formatting::table(&["the users' word", "ours", "the sum"], &rows)
--- a/crates/kelpdoor-lab/src/scale/points.rs
+++ b/crates/kelpdoor-lab/src/scale/points.rs
@@ -1,53 +1,54 @@
-//! What was measured: points, each one figure at one size.
+//! Measured points: one value at one size each.
 
 use comfy_table::Table;
 use serde::{Deserialize, Serialize};
 
-/// One figure of one run.
+/// One measured value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// `voter`, `director`, `fleet`, ..
+    /// Measured role: `voter`, `director`, `fleet` and so on.
     pub role: String,
-    /// What is measured, e.g. `processor time`.
+    /// Measured quantity, for example `processor time`.
     pub what: String,
-    /// Of `y`, e.g. `core`, `B`, `B/s`, `s`.
+    /// Unit of `y`, for example `core`, `B`, `B/s` or `s`.
     pub unit: String,
-    /// What `x` counts, e.g. `directors`, `sessions`, `changes/s`.
+    /// Unit of `x`, for example `directors`, `sessions` or `changes/s`.
     pub by: String,
     pub x: f64,
     pub y: f64,
     pub seed: u64,
-    /// All else that it was measured at, e.g. `3 voters, steady, contradiction 2 s`. Points of one series have the same.
+    /// Other conditions, for example `3 voters, steady, contradiction 2 s`; equal for all points of a series.
     pub at: String,
-    /// Of hollow processes or in virtual time, and what was left out; empty for the real thing.
+    /// How the run differs from a real deployment (hollow processes, virtual time) and what it omits; empty if it does not.
     pub hollow: String,
 }
 
-/// What a run brought.
+/// Result of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Points {
     pub points: Vec<Point>,
-    /// Why something is missing, if it is.
+    /// Why points are missing, one entry for each cause.
     pub partial: Vec<String>,
 }
 
 impl Points {
+    /// Appends the points and the reasons for missing points of another run.
     pub fn merge(&mut self, other: Points) {
         self.points.extend(other.points);
         self.partial.extend(other.partial);
     }
 }
 
-/// Prints the points as a table, series by series, and what is missing.
-pub fn print_table(of: &Points) {
+/// Prints the points as a table, followed by the reasons for missing points.
+pub fn print_table(points: &Points) {
     let mut table = Table::new();
     table.set_header(["role", "what", "at", "by", "size", "seed", "value", "unit", "hollow"]);
-    for p in &of.points {
+    for p in &points.points {
         let (x, y) = (format!("{}", p.x), format!("{:.4}", p.y));
         table.add_row([&p.role, &p.what, &p.at, &p.by, &x, &p.seed.to_string(), &y, &p.unit, &p.hollow]);
     }
     println!("{table}");
-    for why in &of.partial {
+    for why in &points.partial {
         println!("partial: {why}");
     }
 }
--- a/crates/kelpdoor-lab/src/scale/process.rs
+++ b/crates/kelpdoor-lab/src/scale/process.rs
@@ -1,51 +1,57 @@
-//! Processor time, memory and descriptors of processes, as the system counts them.
+//! Processor time, memory and file descriptors of processes, read from `/proc`.
 
 use std::fs;
 
 use anyhow::{Context, Result};
 use nix::unistd::{SysconfVar, sysconf};
 
-/// Of a process, as of now.
+/// Resources that a process uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessUsage {
-    /// s of a core since its start, in itself and in the system for it.
+    /// User and system processor time since the process started, in seconds.
     pub core: f64,
-    /// B held in memory.
+    /// Resident memory in bytes.
     pub memory: f64,
+    /// Open file descriptors.
     pub descriptors: f64,
 }
 
+/// Reads the resource usage of a process.
+///
 /// # Errors
-/// Where there is no such process, or the system tells of it otherwise than expected.
+/// The process does not exist, or `/proc` has an unexpected format.
 pub fn usage(pid: u32) -> Result<ProcessUsage> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).with_context(|| format!("process {pid}"))?;
-    // The name, in brackets, may hold anything.
-    let after = stat.rsplit_once(')').context("no name in stat")?.1;
-    let fields: Vec<&str> = after.split_whitespace().collect();
-    let field = |k: usize| -> Result<f64> { Ok(fields.get(k).context("stat is short")?.parse()?) };
-    let of = |v| -> Result<f64> { Ok(sysconf(v)?.context("not told by the system")? as f64) };
-    let (ticks, page) = (of(SysconfVar::CLK_TCK)?, of(SysconfVar::PAGE_SIZE)?);
-    // Fields 14 and 15 of the whole line, and 24; the first here is the third.
+    // The process name stands in parentheses and may contain spaces and parentheses.
+    let after_name = stat.rsplit_once(')').context("/proc/PID/stat has no process name")?.1;
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
+    let field = |k: usize| -> Result<f64> {
+        Ok(fields.get(k).context("/proc/PID/stat has too few fields")?.parse()?)
+    };
+    let system_value = |v| -> Result<f64> { Ok(sysconf(v)?.context("the system reports no value")? as f64) };
+    let (ticks_per_second, page_bytes) =
+        (system_value(SysconfVar::CLK_TCK)?, system_value(SysconfVar::PAGE_SIZE)?);
+    // Fields 14 (utime), 15 (stime) and 24 (rss) of the line; `fields` starts at field 3.
     Ok(ProcessUsage {
-        core: (field(11)? + field(12)?) / ticks,
-        memory: field(21)? * page,
+        core: (field(11)? + field(12)?) / ticks_per_second,
+        memory: field(21)? * page_bytes,
         descriptors: fs::read_dir(format!("/proc/{pid}/fd"))?.count() as f64,
     })
 }
 
-/// Descriptors that this process, and each that it starts, may hold.
+/// Limit of open file descriptors of this process and its children.
 ///
 /// # Errors
-/// Where the system does not tell.
+/// The system reports no limit.
 pub fn max_descriptors() -> Result<u64> {
-    Ok(sysconf(SysconfVar::OPEN_MAX)?.context("not told by the system")? as u64)
+    Ok(sysconf(SysconfVar::OPEN_MAX)?.context("the system reports no value")? as u64)
 }
 
-/// Processes that ran or waited to run, over the last minute.
+/// Load average of the last minute.
 ///
 /// # Errors
-/// Where the system does not tell.
+/// `/proc/loadavg` cannot be read.
 pub fn load_average() -> Result<f64> {
-    let all = fs::read_to_string("/proc/loadavg")?;
-    Ok(all.split(' ').next().context("no load")?.parse()?)
+    let text = fs::read_to_string("/proc/loadavg")?;
+    Ok(text.split(' ').next().context("/proc/loadavg is empty")?.parse()?)
 }
--- a/crates/kelpdoor-lab/src/scale/target.rs
+++ b/crates/kelpdoor-lab/src/scale/target.rs
@@ -1,4 +1,4 @@
-//! A fleet as it is to be: the words of a target file, and the sums that follow from them alone.
+//! Target files: the planned size, budget and fault rates of a fleet, and the quantities derived from them.
 
 use std::path::Path;
 
@@ -6,29 +6,29 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// What the fleet is to hold and do.
+/// Planned size and load of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
     pub directors: f64,
-    /// Of viewers.
+    /// Session connections of viewers.
     pub connections: f64,
-    /// One title's sessions at one director.
+    /// Shards; a shard is the sessions of one title at one director.
     pub shards: f64,
     /// Sessions of the largest title.
     pub largest_title: f64,
-    /// Messages to viewers, a second.
+    /// Messages to viewers per second.
     pub deliveries: f64,
-    /// s; for 99 in 100.
+    /// 99th percentile of the delivery time of a message, in seconds.
     pub delivery_within: f64,
     pub regions: f64,
     pub zones: f64,
     pub changes_a_day: f64,
-    /// s; a change, everywhere.
+    /// Time until a change is in force everywhere, in seconds.
     pub in_force_within: f64,
 }
 
-/// What control may take: of a core, B, B a second for each director, and machines in all.
+/// Budget of control traffic: cores, bytes of memory and bytes per second for each director, and machines in total.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
@@ -38,33 +38,33 @@
     pub machines: f64,
 }
 
-/// What fails on ordinary days.
+/// Fault rates of ordinary days.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Faults {
     pub machines_a_day: f64,
-    /// Directors restarted or replaced.
+    /// Directors restarted or replaced per day.
     pub restarted_a_day: f64,
     pub racks_a_day: f64,
     pub zones_a_day: f64,
-    /// s; regions lose each other for so long.
+    /// Duration of a partition between regions, in seconds.
     pub region_cut: f64,
 }
 
-/// What nobody told.
+/// Assumptions about quantities that the target does not state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Assume {
     pub sessions_a_node: f64,
-    /// In the roster's feed.
+    /// Titles in the roster's feed.
     pub titles: f64,
     pub voters: f64,
-    /// s; the longest that directors act on different rules.
+    /// Longest time that directors act on different rules, in seconds.
     pub contradiction: f64,
-    /// B; the agreed document.
+    /// Size of the agreed document in bytes.
     pub document: f64,
     pub directors_a_rack: f64,
-    /// New sessions a second that a director takes.
+    /// New sessions per second that a director can set up.
     pub setups_a_second: f64,
 }
 
@@ -94,44 +94,44 @@
 struct Reader<'a> {
     file: &'a str,
     calls: &'a [Call],
-    faults: Vec<SettingsError>,
+    errors: Vec<SettingsError>,
 }
 
 impl Reader<'_> {
-    fn one<T: DeserializeOwned>(&mut self, word: &str, needed: bool) -> Option<(T, Call)> {
-        let mut of = self.calls.iter().filter(|c| c.builtin == word);
+    fn parse_call<T: DeserializeOwned>(&mut self, builtin: &str, required: bool) -> Option<(T, Call)> {
+        let mut of = self.calls.iter().filter(|c| c.builtin == builtin);
         let Some(call) = of.next() else {
-            if needed {
+            if required {
                 let (file, pos) = (self.file.to_owned(), SourcePosition::default());
-                self.faults.push(SettingsError { file, pos, message: format!("{word}(..) is missing") });
+                self.errors.push(SettingsError { file, pos, message: format!("{builtin}(..) is missing") });
             }
             return None;
         };
         let again: Vec<SettingsError> =
-            of.map(|c| c.error(self.file, format!("{word}(..) stands twice"))).collect();
-        self.faults.extend(again);
+            of.map(|c| c.error(self.file, format!("{builtin}(..) stands twice"))).collect();
+        self.errors.extend(again);
         match call.parse_args(self.file) {
             Ok(value) => Some((value, call.clone())),
-            Err(fault) => {
-                self.faults.push(fault);
+            Err(error) => {
+                self.errors.push(error);
                 None
             }
         }
     }
 
-    fn check(&mut self, call: &Call, good: bool, what: &str) {
-        if !good {
-            self.faults.push(call.error(self.file, format!("{}: {what}", call.builtin)));
+    fn check(&mut self, call: &Call, valid: bool, message: &str) {
+        if !valid {
+            self.errors.push(call.error(self.file, format!("{}: {message}", call.builtin)));
         }
     }
 
-    /// Each figure is above 0, and those that count things are whole.
-    fn figures(&mut self, call: &Call, of: &impl Serialize, whole: &[&str]) {
+    /// Checks that each value is positive and that counts are whole numbers.
+    fn check_values(&mut self, call: &Call, of: &impl Serialize, whole: &[&str]) {
         let Ok(serde_json::Value::Object(all)) = serde_json::to_value(of) else { return };
         for (name, value) in all {
-            // What is not finite has no number in JSON.
+            // JSON has no representation of values that are not finite.
             let value = value.as_f64().unwrap_or(f64::NAN);
-            let positive = value > 0.0 && value <= MOST;
+            let positive = value > 0.0 && value <= MAX_VALUE;
             self.check(call, positive, &format!("{name} has to be above 0, and 1e15 at most"));
             let whole = !positive || !whole.contains(&name.as_str()) || value.fract() == 0.0;
             self.check(call, whole, &format!("{name} counts things: a whole number is asked for"));
@@ -139,18 +139,22 @@
     }
 }
 
-/// Of any figure in a target; beyond it sums lose their last digits.
-const MOST: f64 = 1e15;
+/// Largest value allowed in a target; beyond it `f64` sums lose precision.
+const MAX_VALUE: f64 = 1e15;
 
 impl FleetTarget {
+    /// Parses the text of a target file; `file` names it in errors.
+    ///
     /// # Errors
-    /// Every fault found, each with its place.
+    /// All errors found, each with its position.
     pub fn parse(file: &str, text: &str) -> Result<FleetTarget, Vec<SettingsError>> {
         FleetTarget::from_calls(file, &kelpdoor_script::evaluate(file, text, TARGET_BUILTINS)?)
     }
 
+    /// Reads and parses a target file.
+    ///
     /// # Errors
-    /// Every fault found, each with its place, and where the file cannot be read.
+    /// The file cannot be read, or all errors found in it, each with its position.
     pub fn read(path: &Path) -> Result<FleetTarget, Vec<SettingsError>> {
         FleetTarget::from_calls(
             &path.display().to_string(),
@@ -159,13 +163,17 @@
     }
 
     fn from_calls(file: &str, calls: &[Call]) -> Result<FleetTarget, Vec<SettingsError>> {
-        let mut r = Reader { file, calls, faults: Vec::new() };
-        let target = r.one::<Target>("target", true);
-        let budget = r.one::<Budget>("budget", true);
-        let faults = r.one::<Faults>("faults", true);
-        let assume = r.one::<Assume>("assume", false);
+        let mut r = Reader { file, calls, errors: Vec::new() };
+        let target = r.parse_call::<Target>("target", true);
+        let budget = r.parse_call::<Budget>("budget", true);
+        let faults = r.parse_call::<Faults>("faults", true);
+        let assume = r.parse_call::<Assume>("assume", false);
         if let Some((t, call)) = &target {
-            r.figures(call, t, &["directors", "connections", "shards", "largest_title", "regions", "zones"]);
+            r.check_values(
+                call,
+                t,
+                &["directors", "connections", "shards", "largest_title", "regions", "zones"],
+            );
             r.check(call, t.zones <= t.directors, "more zones than directors");
             r.check(call, t.regions <= t.zones, "more regions than zones");
             r.check(call, t.shards <= t.connections, "more shards than connections");
@@ -176,50 +184,50 @@
             );
         }
         if let Some((b, call)) = &budget {
-            r.figures(call, b, &["machines"]);
+            r.check_values(call, b, &["machines"]);
         }
         if let Some((f, call)) = &faults {
-            r.figures(call, f, &[]);
+            r.check_values(call, f, &[]);
         }
         if let Some((a, call)) = &assume {
-            r.figures(call, a, &["voters", "titles", "sessions_a_node", "directors_a_rack"]);
+            r.check_values(call, a, &["voters", "titles", "sessions_a_node", "directors_a_rack"]);
             r.check(call, a.voters % 2.0 == 1.0, "an odd number of voters is asked for");
         }
         match (target, budget, faults) {
-            (Some((target, _)), Some((budget, _)), Some((of, _))) if r.faults.is_empty() => {
+            (Some((target, _)), Some((budget, _)), Some((of, _))) if r.errors.is_empty() => {
                 let assume = assume.map(|a| a.0).unwrap_or_default();
                 Ok(FleetTarget { target, budget, faults: of, assume })
             }
-            _ => Err(r.faults),
+            _ => Err(r.errors),
         }
     }
 
-    /// Connections of a director.
+    /// Connections, and so sessions, of each director.
     pub fn sessions_per_director(&self) -> f64 {
         self.target.connections / self.target.directors
     }
 
-    /// Shards of a director.
+    /// Shards of each director.
     pub fn shards_per_director(&self) -> f64 {
         self.target.shards / self.target.directors
     }
 
-    /// Messages to viewers a second, of a director.
+    /// Messages to viewers per second of each director.
     pub fn deliveries_per_director(&self) -> f64 {
         self.target.deliveries / self.target.directors
     }
 
-    /// Media nodes.
+    /// Number of media nodes.
     pub fn node_count(&self) -> f64 {
         (self.target.connections / self.assume.sessions_a_node).ceil()
     }
 
-    /// Changes a second.
+    /// Changes of the agreed document per second.
     pub fn changes_per_second(&self) -> f64 {
         self.target.changes_a_day / SECONDS_PER_DAY
     }
 
-    /// The size that a series is worked out for, by what it grows with.
+    /// The size of the target in the unit `by` of a series; `None` for unknown units.
     pub fn size_for(&self, by: &str) -> Option<f64> {
         match by {
             "directors" => Some(self.target.directors),
@@ -235,5 +243,5 @@
     }
 }
 
-/// s
+/// Seconds in a day.
 pub const SECONDS_PER_DAY: f64 = 86_400.0;
