--- a/crates/kelpdoor-lab/src/scale/follower.rs
+++ b/crates/kelpdoor-lab/src/scale/follower.rs
@@ -1,13 +1,13 @@
-//! The one place that knows what a follower is: how it is made, what it may do, and what a fleet of them comes to.
+//! Followers of the agreed rules as the measurements use them, and the tracking of versions over a fleet of them.
 
 use std::collections::BTreeMap;
 
 use kelpdoor_agreement::{ClientRequest, DocumentReader, Rules, VoterId, VoterResponse, lease_duration};
 
-/// Versions that a board counts at most; a run has some thousands.
-const VERSIONS: u64 = 100_000;
+/// Most versions that a tracker counts; a run has some thousands.
+const MAX_VERSIONS: u64 = 100_000;
 
-/// Of a document its first line alone is read, as [`head`] writes it.
+/// Reads only the first line of a document, as [`document_header`] writes it.
 pub const FIRST_LINE: DocumentReader = DocumentReader {
     lease: |text| first_line(text).map_or(0.0, |(contradiction, _)| lease_duration(contradiction)),
     voters: |text| first_line(text).map(|(_, voters)| voters).unwrap_or_default(),
@@ -20,13 +20,13 @@
     Some((contradiction.parse().ok()?, voters))
 }
 
-/// The first line of a document: what is read of it here.
+/// The first line of a document, which holds all that [`FIRST_LINE`] reads.
 pub fn document_header(contradiction: f64, voters: usize) -> String {
     let by: Vec<String> = (0..voters).map(|v| v.to_string()).collect();
     format!("# contradiction {contradiction} by {}\n", by.join(" "))
 }
 
-/// What a hollow director reads of a document, and all that it merges.
+/// The rules that a hollow director reads from a document; merging keeps the newer ones.
 #[derive(Clone, Debug)]
 pub struct FirstLine {
     contradiction: f64,
@@ -54,104 +54,105 @@
     }
 }
 
-/// The real follower, of documents of which the first line alone is read.
+/// The real follower, with documents reduced to their first line.
 pub type Follower = kelpdoor_agreement::Follower<FirstLine>;
 
-/// A follower that knows nothing yet.
+/// A follower that knows no version yet.
 pub fn follower(name: &str, boot: u64) -> Follower {
     Follower::new(name, boot, None, ())
 }
 
-/// The newest version that it knows; 0: none.
-pub fn newest(of: &Follower) -> u64 {
-    of.known_version().map_or(0, |c| c.number)
+/// The newest version that a follower knows; 0 if none.
+pub fn newest(follower: &Follower) -> u64 {
+    follower.known_version().map_or(0, |c| c.number)
 }
 
-/// What a follower acts on, in its own time.
+/// The versions that a follower acts on and when, in its local time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ActiveSpan {
     pub newest: u64,
-    /// Of those that stand beside it, or itself.
+    /// Oldest version that is merged into it; equal to `newest` if there is none.
     pub oldest: u64,
     pub from: f64,
     pub until: f64,
 }
 
-/// What it acts on, if it knows a version.
-pub fn active_span(of: &Follower, now: f64) -> Option<ActiveSpan> {
-    let a = of.active_versions(now)?;
+/// The versions that a follower acts on; `None` if it knows none.
+pub fn active_span(follower: &Follower, now: f64) -> Option<ActiveSpan> {
+    let a = follower.active_versions(now)?;
     let newest = a.version.number;
     let oldest = a.oldest();
     Some(ActiveSpan { newest, oldest, from: a.from, until: a.until })
 }
 
-/// Whether it may begin sessions now.
-pub fn may_begin(of: &Follower, now: f64) -> bool {
-    active_span(of, now).is_some_and(|a| a.from <= now && now < a.until)
+/// Whether a follower may begin sessions now.
+pub fn may_begin(follower: &Follower, now: f64) -> bool {
+    active_span(follower, now).is_some_and(|a| a.from <= now && now < a.until)
 }
 
-/// Whether it may begin sessions now, with nothing older beside the newest version that it knows.
-pub fn alone(of: &Follower, now: f64) -> bool {
-    active_span(of, now).is_some_and(|a| a.from <= now && now < a.until && a.oldest == a.newest)
+/// Whether a follower may begin sessions now by its newest version alone.
+pub fn alone(follower: &Follower, now: f64) -> bool {
+    active_span(follower, now).is_some_and(|a| a.from <= now && now < a.until && a.oldest == a.newest)
 }
 
-/// A director, as a board sees it. Times are those of the board.
+/// Tracked state of a director, in the tracker's time.
 #[derive(Clone, Copy, Debug, Default)]
 struct DirectorState {
     known: u64,
-    /// Newest and oldest acted on, from when until when; nothing known: until 0.
+    /// Newest and oldest version acted on, and the interval; `until` is negative infinity while no version is known.
     newest: u64,
     oldest: u64,
     from: f64,
     until: f64,
-    looked: f64,
-    /// s, within the board's span, in which it might begin sessions.
-    begun: f64,
-    /// Everything up to that version is in force there.
-    force: u64,
-    /// It may begin again, the first time since the mark.
-    again: Option<f64>,
+    observed_at: f64,
+    /// Seconds of the tracker's span in which it might begin sessions.
+    begin_seconds: f64,
+    /// All versions up to this one are in force at this director.
+    in_force: u64,
+    /// First time since the mark at which it may begin sessions.
+    recovered_at: Option<f64>,
 }
 
-/// A version, as a board sees it.
+/// Tracked state of a version.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Version {
-    /// When it was proposed first, if the proposer heard of its end.
+    /// Time of the first proposal, if the proposer learned the result.
     pub proposed: Option<f64>,
     pub agreed: Option<f64>,
     known: usize,
-    force: usize,
-    /// Known by all, it or a later one.
+    in_force: usize,
+    /// Time when all directors know this version or a later one.
     pub known_at: Option<f64>,
-    /// All may begin sessions by it or a later one, with nothing older beside.
+    /// Time when all directors may begin sessions by this version or later ones only.
     pub force_at: Option<f64>,
 }
 
-/// Who knew and acted on what, and when: of all directors of a run.
+/// Tracks which versions each director of a run knows and acts on, and when.
 pub struct VersionTracker {
-    seats: Vec<DirectorState>,
+    directors_state: Vec<DirectorState>,
     versions: Vec<Version>,
-    /// Where the part of the time is counted.
+    /// Interval in which the time to begin sessions is counted.
     span: (f64, f64),
     mark: f64,
-    /// Those who have to know and act on a version for it to be so everywhere, and how many they are.
+    /// Directors that count for "everywhere", and their number.
     counts: Vec<bool>,
     everywhere: usize,
-    /// By version, when first somebody acted on it with nothing older beside, and on nothing older as what is switched.
+    /// By version: when a director first acted on it alone, and first acted on it as the oldest merged version.
     first_alone: BTreeMap<u64, f64>,
     first_oldest: BTreeMap<u64, f64>,
-    /// s; an older version was acted on alone for so long after a newer one was: 0, or the agreement is broken.
+    /// Longest time in seconds that an older version was acted on alone after a newer one was. Above 0, the agreement is
+    /// violated.
     pub older_alone: f64,
-    /// s; two versions' switched keys were acted on for so long at most.
+    /// Longest time in seconds that switched keys of two versions were acted on at once.
     pub mixed: f64,
 }
 
 impl VersionTracker {
-    /// Everywhere is at those whom `counts` names.
+    /// Tracks `directors` directors; a version is in force everywhere once it is at all for which `counts` holds.
     pub fn new(directors: usize, counts: impl Fn(usize) -> bool) -> Self {
         let counts: Vec<bool> = (0..directors).map(counts).collect();
         VersionTracker {
-            seats: vec![
+            directors_state: vec![
                 DirectorState {
                     from: f64::INFINITY,
                     until: f64::NEG_INFINITY,
@@ -171,20 +172,20 @@
         }
     }
 
-    /// Counts the part of the time from here to there.
+    /// Sets the interval in which the time to begin sessions is counted.
     pub fn set_span(&mut self, from: f64, to: f64) {
         self.span = (from, to);
-        self.seats.iter_mut().for_each(|s| s.begun = 0.0);
+        self.directors_state.iter_mut().for_each(|s| s.begin_seconds = 0.0);
     }
 
-    /// Counts who may begin again from here on.
+    /// Sets the time from which recoveries are recorded.
     pub fn set_mark(&mut self, at: f64) {
         self.mark = at;
-        self.seats.iter_mut().for_each(|s| s.again = None);
+        self.directors_state.iter_mut().for_each(|s| s.recovered_at = None);
     }
 
     fn version(&mut self, number: u64) -> Option<&mut Version> {
-        if !(1..=VERSIONS).contains(&number) {
+        if !(1..=MAX_VERSIONS).contains(&number) {
             return None;
         }
         if self.versions.len() < number as usize {
@@ -193,7 +194,7 @@
         self.versions.get_mut(number as usize - 1)
     }
 
-    /// A proposal that was made then came to be that version.
+    /// Records that a proposal made at `proposed` was agreed as version `number`.
     pub fn record_agreed(&mut self, number: u64, proposed: f64, at: f64) {
         if let Some(v) = self.version(number) {
             v.proposed = Some(proposed);
@@ -201,104 +202,105 @@
         }
     }
 
-    /// A director as it is at `t`; `scale` makes its own time the board's. To be called after whatever changes it.
-    pub fn observe(&mut self, t: f64, d: usize, of: &Follower, now: f64, scale: impl Fn(f64) -> f64) {
+    /// Records the state of director `d` at `t`; call it after each change. `scale` converts local time to the tracker's.
+    pub fn observe(&mut self, t: f64, d: usize, follower: &Follower, now: f64, scale: impl Fn(f64) -> f64) {
         self.advance(t, d);
         let (all, counts) = (self.everywhere, usize::from(self.counts.get(d) == Some(&true)));
-        let (known, acts) = (newest(of), active_span(of, now));
-        let Some(seat) = self.seats.get_mut(d) else { return };
-        let (knew, forced) = (seat.known, seat.force);
-        seat.known = known;
+        let (known, acts) = (newest(follower), active_span(follower, now));
+        let Some(state) = self.directors_state.get_mut(d) else { return };
+        let (knew, forced) = (state.known, state.in_force);
+        state.known = known;
         if let Some(a) = acts {
-            (seat.newest, seat.oldest) = (a.newest, a.oldest);
-            (seat.from, seat.until) = (scale(a.from), scale(a.until));
+            (state.newest, state.oldest) = (a.newest, a.oldest);
+            (state.from, state.until) = (scale(a.from), scale(a.until));
         }
         let begins = acts.is_some_and(|a| a.from <= now && now < a.until);
         if begins {
-            seat.force = seat.force.max(seat.oldest);
+            state.in_force = state.in_force.max(state.oldest);
             if t >= self.mark {
-                seat.again.get_or_insert(t);
+                state.recovered_at.get_or_insert(t);
             }
         }
-        let seat = *seat;
-        for n in knew + 1..=seat.known.min(VERSIONS) {
+        let state = *state;
+        for n in knew + 1..=state.known.min(MAX_VERSIONS) {
             let Some(v) = self.version(n) else { break };
             v.known += counts;
             if v.known == all {
                 v.known_at.get_or_insert(t);
             }
         }
-        for n in forced + 1..=seat.force.min(VERSIONS) {
+        for n in forced + 1..=state.in_force.min(MAX_VERSIONS) {
             let Some(v) = self.version(n) else { break };
-            v.force += counts;
-            if v.force == all {
+            v.in_force += counts;
+            if v.in_force == all {
                 v.force_at.get_or_insert(t);
             }
         }
         if begins {
-            if seat.oldest == seat.newest {
-                self.first_alone.entry(seat.newest).or_insert(t);
+            if state.oldest == state.newest {
+                self.first_alone.entry(state.newest).or_insert(t);
             }
-            self.first_oldest.entry(seat.oldest).or_insert(t);
+            self.first_oldest.entry(state.oldest).or_insert(t);
         }
     }
 
-    /// Time passes to `t` for a director that did nothing since it was looked at.
+    /// Advances an unchanged director to `t`.
     fn advance(&mut self, t: f64, d: usize) {
-        let Some(seat) = self.seats.get_mut(d) else { return };
-        let (from, to) = (seat.from.max(seat.looked), seat.until.min(t));
-        seat.looked = t;
+        let Some(state) = self.directors_state.get_mut(d) else { return };
+        let (from, to) = (state.from.max(state.observed_at), state.until.min(t));
+        state.observed_at = t;
         if from >= to {
             return;
         }
-        seat.begun += (to.min(self.span.1) - from.max(self.span.0)).max(0.0);
+        state.begin_seconds += (to.min(self.span.1) - from.max(self.span.0)).max(0.0);
         let since =
             |of: &BTreeMap<u64, f64>, n: u64| of.range(n + 1..).map(|(_, at)| to - at).fold(0.0, f64::max);
-        self.older_alone = self.older_alone.max(since(&self.first_alone, seat.newest));
-        self.mixed = self.mixed.max(since(&self.first_oldest, seat.oldest));
+        self.older_alone = self.older_alone.max(since(&self.first_alone, state.newest));
+        self.mixed = self.mixed.max(since(&self.first_oldest, state.oldest));
     }
 
-    /// The part of the span, up to `t`, in which each director of these might begin sessions.
+    /// For each selected director, the fraction of the span up to `t` in which it might begin sessions.
     pub fn begin_fractions(&mut self, t: f64, of: impl Fn(usize) -> bool) -> Vec<f64> {
         let length = t.min(self.span.1) - self.span.0;
-        let all: Vec<usize> = (0..self.seats.len()).filter(|d| of(*d)).collect();
+        let all: Vec<usize> = (0..self.directors_state.len()).filter(|d| of(*d)).collect();
         all.into_iter()
             .map(|d| {
                 self.advance(t, d);
-                if length > 0.0 { self.seats[d].begun / length } else { 0.0 }
+                if length > 0.0 { self.directors_state[d].begin_seconds / length } else { 0.0 }
             })
             .collect()
     }
 
-    /// s from the mark until each of these may begin; of those that may.
+    /// Seconds from the mark until each selected director may begin sessions, without those that may not yet.
     pub fn recovery_times(&self, of: impl Fn(usize) -> bool) -> Vec<f64> {
-        let seats = self.seats.iter().enumerate().filter(|(d, _)| of(*d));
-        seats.filter_map(|(_, s)| Some(s.again? - self.mark)).collect()
+        let directors_state = self.directors_state.iter().enumerate().filter(|(d, _)| of(*d));
+        directors_state.filter_map(|(_, s)| Some(s.recovered_at? - self.mark)).collect()
     }
 
-    /// Versions that were proposed from here to there.
+    /// Versions proposed in the interval `from..to`.
     pub fn proposed_between(&self, from: f64, to: f64) -> impl Iterator<Item = &Version> {
         self.versions.iter().filter(move |v| v.proposed.is_some_and(|at| from <= at && at < to))
     }
 }
 
-/// Whether an answer brings no more than leave to go on: no document, and nothing of one.
+/// Whether a response only renews the lease, without a document or edits.
 pub fn is_plain_grant(of: &VoterResponse) -> bool {
     matches!(of, VoterResponse::Granted { document: None, chain, .. } if chain.is_empty())
 }
 
-/// The questions that are due: asked for only then, as each call names what is acted on, with its sums.
-pub fn due_requests(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
-    let at = of.next_request_at();
+/// The requests that are due. Skips the voters before that, as each poll computes digests of the active versions.
+pub fn due_requests(follower: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
+    let at = follower.next_request_at();
     if at > now && at < f64::INFINITY {
         return Vec::new();
     }
-    (0..voters as u8).map(VoterId).filter_map(|v| Some((v, of.next_request(now, v)?))).collect()
+    (0..voters as u8).map(VoterId).filter_map(|v| Some((v, follower.next_request(now, v)?))).collect()
 }
 
-/// What a real director's loop does of this each time it looks at its voters.
-pub fn poll_like_director(of: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
-    let all = (0..voters as u8).map(VoterId).filter_map(|v| Some((v, of.next_request(now, v)?))).collect();
-    std::hint::black_box(of.active_versions(now).map(|a| a.label()));
+/// Polls all voters as the loop of a real director does.
+pub fn poll_like_director(follower: &mut Follower, now: f64, voters: usize) -> Vec<(VoterId, ClientRequest)> {
+    let all =
+        (0..voters as u8).map(VoterId).filter_map(|v| Some((v, follower.next_request(now, v)?))).collect();
+    std::hint::black_box(follower.active_versions(now).map(|a| a.label()));
     all
 }
--- a/crates/kelpdoor-lab/src/scale/simulate.rs
+++ b/crates/kelpdoor-lab/src/scale/simulate.rs
@@ -1,5 +1,6 @@
-//! The very cores of voters and directors' sides in virtual time, at any size: words late, clocks that run apart, a disk
-//! behind each voter, operators that propose; a region cut off, if so planned. No faults else.
+//! Discrete-event simulation of a fleet of any size: the real voter and follower cores in virtual time, with message
+//! delays, clocks of different rates, a disk for each voter and operators that propose. A region can be cut off; there
+//! are no other faults.
 
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Instant;
@@ -11,32 +12,34 @@
 
 use super::follower::{self, FIRST_LINE, Follower, VersionTracker};
 
-/// s; a word between two sites takes from the first to the second, drawn for each.
-const LATE: (f64, f64) = (0.002, 0.022);
-/// s; a voter's write takes from the first to the second: a file synced and renamed on a disk of a server.
-const WRITE: (f64, f64) = (0.002, 0.008);
-/// Of a clock's rate; two run apart by this at most.
-const APART: f64 = 0.005;
-/// Directors whose bytes are counted, by writing each word as on the wire.
-const COUNTED: usize = 16;
-/// Times that an operator proposes one change; then it is given up.
-const TRIES: u32 = 60;
-/// s; an operator whom no voter takes a proposal from waits so long, and up to twice that.
-const OPERATOR: f64 = 0.05;
-/// Leases after its start when the measuring begins: all have a first version, and act on it.
-const SETTLE: f64 = 6.0;
-/// s; between two looks at a director at least.
-const SOON: f64 = 1e-5;
-/// Answers that refuse are told apart by their words, so many kinds at most.
-const KINDS: usize = 8;
-/// Numbers of operators among those who ask voters.
-const OPERATORS: u64 = 1 << 32;
-/// Events between two looks at the time that is left.
-const LOOK: u64 = 1 << 14;
-/// What waits at most; a run of 5,800 directors has some 20,000.
-const WAITING: usize = 4_000_000;
-
-/// What is simulated.
+/// Shortest and longest delay of a message between two sites, in seconds; drawn for each message.
+const MIN_MESSAGE_DELAY: f64 = 0.002;
+const MAX_MESSAGE_DELAY: f64 = 0.022;
+/// Shortest and longest write of a voter, in seconds: a file synced and renamed on a server's disk.
+const MIN_WRITE_TIME: f64 = 0.002;
+const MAX_WRITE_TIME: f64 = 0.008;
+/// Largest difference between the rates of two clocks.
+const MAX_CLOCK_RATE_DIFFERENCE: f64 = 0.005;
+/// Directors whose bytes are counted, by serializing each message as on the wire.
+const COUNTED_DIRECTORS: usize = 16;
+/// Proposals of one change before its operator gives up.
+const MAX_PROPOSALS: u32 = 60;
+/// Shortest delay of an operator after all voters declined a proposal, in seconds; the longest is twice that.
+const OPERATOR_RETRY_DELAY: f64 = 0.05;
+/// Leases before the measurement begins; by then all directors act on a first version.
+const SETTLE_LEASES: f64 = 6.0;
+/// Shortest time between two polls of a director, in seconds.
+const MIN_POLL_INTERVAL: f64 = 1e-5;
+/// Most distinct refusal reasons that are counted.
+const MAX_REFUSAL_REASONS: usize = 8;
+/// First client number of operators; directors have lower ones.
+const FIRST_OPERATOR: u64 = 1 << 32;
+/// Events between two checks of the time limit.
+const EVENTS_PER_TIME_CHECK: u64 = 1 << 14;
+/// Most queued events; a run of 5,800 directors has some 20,000.
+const MAX_QUEUED_EVENTS: usize = 4_000_000;
+
+/// Parameters of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct SimulationPlan {
     pub seed: u64,
@@ -44,64 +47,65 @@
     pub voters: usize,
     /// s
     pub contradiction: f64,
-    /// Changes a second, at random times.
+    /// Changes per second, at random times.
     pub rate: f64,
-    /// s measured.
+    /// Measured seconds of virtual time.
     pub span: f64,
-    /// Bytes of a document, about.
+    /// Approximate size of a document in bytes.
     pub document: usize,
-    /// Instead of changes at a rate: so many as fast as one operator has them decided.
+    /// If above 0, this many changes back to back by one operator, instead of changes at a rate.
     pub burst: u32,
-    /// Each voter and each director is in one of as many regions as there are voters; the first is cut off for the span.
+    /// Cuts off the first region for the span; there are as many regions as voters, each with a share of the directors.
     pub cut: bool,
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Part of the span in which each director might begin sessions.
+    /// Fraction of the span in which each director might begin sessions.
     pub begin_fractions: Vec<f64>,
-    /// And each of the region that was cut off.
+    /// The same for each director of the region that was cut off.
     pub cut_begin_fractions: Vec<f64>,
-    /// s from a proposal until all know it, and until it is in force everywhere, sorted.
+    /// Seconds from a proposal until all directors know it, and until it is in force everywhere, sorted.
     pub known_delays: Vec<f64>,
     pub in_force_delays: Vec<f64>,
-    /// Proposed in the span and decided, and not in force everywhere by the end.
+    /// Versions proposed in the span and decided, but not in force everywhere by the end.
     pub not_in_force: usize,
-    /// Proposals, those that another came before, those that no voter took at that moment, and changes given up.
+    /// Proposals, those that lost to another, those that a voter did not take, and changes given up.
     pub proposals: u64,
     pub proposals_lost: u64,
     pub proposals_not_taken: u64,
     pub given_up: u64,
-    /// The last answer to one that was given up, on processes.
+    /// Last response to a change that was given up; only set on processes.
     pub why_given_up: String,
-    /// s from a first proposal until its operator was told of the end, sorted.
+    /// Seconds from the first proposal of a change until its operator learned of the decision, sorted.
     pub decision_times: Vec<f64>,
-    /// B and words a second and director, both ways, in the span.
+    /// Bytes and messages per second and director, in both directions, in the span.
     pub bytes: f64,
     pub messages: f64,
-    /// Of that, B a second and director from voters that carried more than a plain answer.
+    /// Bytes per second and director in responses that carry a document or edits.
     pub documents: f64,
-    /// Questions a second at a voter, in the span.
+    /// Requests per second at a voter, in the span.
     pub questions: f64,
-    /// Questions refused in the span, by why.
+    /// Requests refused in the span, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// s; see [`Board`].
+    /// Seconds; see [`VersionTracker`].
     pub older_alone: f64,
     pub mixed: f64,
-    /// After the region is healed: s until each of its directors may begin, sorted, and B each until 10 s after.
+    /// Seconds from the end of the partition until each director of the region may begin sessions, sorted, and the mean
+    /// bytes of such a director in the 10 s after the partition.
     pub recovery_times: Vec<f64>,
     pub healing_bytes: f64,
-    /// And B in 10 s of a director that was never cut off.
+    /// Mean bytes in the same 10 s of a director that was not cut off.
     pub uncut_bytes: f64,
-    /// s of virtual time measured; less than planned if cut short.
+    /// Measured seconds of virtual time; less than planned if cut short.
     pub measured: f64,
     pub cut_short: bool,
     pub events: u64,
 }
 
 impl Outcome {
-    /// What became of the versions that were proposed from here to there.
+    /// Adds the results of the versions proposed in `from..to`.
     pub fn versions(&mut self, tracker: &VersionTracker, from: f64, to: f64) {
         for v in tracker.proposed_between(from, to) {
             let Some(proposed) = v.proposed else { continue };
@@ -118,20 +122,20 @@
 
 #[derive(Debug)]
 enum Event {
-    Word(usize, VoterId, VoterMessage),
-    Asked(usize, u64, ClientRequest),
-    Told(usize, usize, VoterResponse),
+    Message(usize, VoterId, VoterMessage),
+    Request(usize, u64, ClientRequest),
+    Response(usize, usize, VoterResponse),
     Tick(usize),
-    /// A director's question is due, or what it may do changes by itself.
+    /// A request of a director is due, or its active versions change.
     Due(usize),
     /// The next change.
     Change,
-    /// An operator proposes, to that voter.
+    /// An operator proposes its change to a voter.
     Propose(u64, usize),
     Outcome(u64, VoterResponse),
 }
 
-/// By time, then by number.
+/// Time, sequence number and slot of a queued event; the earliest is the greatest, for the max-heap.
 #[derive(PartialEq)]
 struct Key(f64, u64, usize);
 
@@ -155,7 +159,7 @@
     tries: u32,
 }
 
-struct Sim {
+struct Simulation {
     plan: SimulationPlan,
     rng: Rng,
     t: f64,
@@ -164,14 +168,14 @@
     events: Vec<Option<Event>>,
     free: Vec<usize>,
     voters: Vec<Voter>,
-    /// Until then its loop waits for the disk; and when it looks at its times next.
+    /// By voter: the time until which it waits for the disk, and the time of its next tick.
     busy: Vec<f64>,
     tick_at: Vec<f64>,
     followers: Vec<Follower>,
     due_at: Vec<f64>,
-    /// Of voters, then of directors.
+    /// Clock rates of voters, then of directors.
     rates: Vec<f64>,
-    /// From when until when, the first region from the others.
+    /// Interval in which the first region is cut off from the others.
     cut: (f64, f64),
     span: (f64, f64),
     operators: BTreeMap<u64, Operator>,
@@ -179,7 +183,7 @@
     left: u32,
     tracker: VersionTracker,
     out: Outcome,
-    /// B, words, and B of words with a document, of each director counted.
+    /// Bytes, messages, and bytes of messages with a document, of each director counted.
     counted: BTreeMap<usize, (u64, u64, u64)>,
     counting: (f64, f64),
     asked: u64,
@@ -187,7 +191,7 @@
     pad: String,
 }
 
-/// A text of that size in lines such as documents have; `change` sets what is said in one line of it.
+/// Filler text of about `bytes` bytes, in lines as documents have them.
 pub fn pad(bytes: usize) -> String {
     let mut text = String::new();
     let mut k = 0;
@@ -198,27 +202,27 @@
     text
 }
 
-impl Sim {
+impl Simulation {
     fn new(plan: &SimulationPlan) -> Self {
         let (v, d) = (plan.voters, plan.directors);
         let mut rng = Rng::with_seed(plan.seed);
-        let rates = (0..v + d).map(|_| 1.0 + APART * (rng.f64() - 0.5)).collect();
+        let rates = (0..v + d).map(|_| 1.0 + MAX_CLOCK_RATE_DIFFERENCE * (rng.f64() - 0.5)).collect();
         let ids: Vec<VoterId> = (0..v as u8).map(VoterId).collect();
         let voter = |k: usize| {
             let durable = DurableState::founded("scale", &ids);
             Voter::new(VoterId(k as u8), durable, FIRST_LINE, plan.seed ^ k as u64, 0.0)
         };
         let lease = kelpdoor_agreement::lease_duration(plan.contradiction);
-        let begin = SETTLE * lease.max(1.0);
+        let begin = SETTLE_LEASES * lease.max(1.0);
         let span = (begin, begin + plan.span);
-        // Spread evenly, so that each region has its part of them.
-        let step = (d / COUNTED.min(d.max(1))).max(1);
+        // Evenly spread, so that each region has its share of them.
+        let step = (d / COUNTED_DIRECTORS.min(d.max(1))).max(1);
         let mut counted: BTreeMap<usize, _> =
-            (0..d).step_by(step).take(COUNTED).map(|f| (f, (0, 0, 0))).collect();
+            (0..d).step_by(step).take(COUNTED_DIRECTORS).map(|f| (f, (0, 0, 0))).collect();
         if plan.cut {
             counted = (0..d).map(|f| (f, (0, 0, 0))).collect();
         }
-        Sim {
+        Simulation {
             t: 0.0,
             count: 0,
             keys: BinaryHeap::new(),
@@ -249,9 +253,9 @@
         }
     }
 
-    fn at(&mut self, t: f64, event: Event) {
-        if self.keys.len() >= WAITING {
-            // More than any plan of ours comes to: told as cut short.
+    fn schedule(&mut self, t: f64, event: Event) {
+        if self.keys.len() >= MAX_QUEUED_EVENTS {
+            // No plan reaches this many events; the run is reported as cut short.
             self.out.cut_short = true;
             return;
         }
@@ -273,35 +277,35 @@
         self.t * self.rates[site]
     }
 
-    /// Where a site is: voters first, then directors.
+    /// Region of a site; voters are numbered first, then directors.
     fn region(&self, site: usize) -> usize {
         if site < self.plan.voters { site } else { (site - self.plan.voters) % self.plan.voters }
     }
 
-    fn carry(&mut self, sent: f64, from: usize, to: usize, event: Event) {
+    fn deliver(&mut self, sent: f64, from: usize, to: usize, event: Event) {
         let apart = (self.region(from) == 0) != (self.region(to) == 0);
-        let late = LATE.0 + (LATE.1 - LATE.0) * self.rng.f64();
+        let delay = MIN_MESSAGE_DELAY + (MAX_MESSAGE_DELAY - MIN_MESSAGE_DELAY) * self.rng.f64();
         if !(apart && self.cut.0 <= sent && sent < self.cut.1) {
-            self.at(sent + late, event);
+            self.schedule(sent + delay, event);
         }
     }
 
     fn text(&self) -> String {
         let head = follower::document_header(self.plan.contradiction, self.plan.voters);
-        // The line that changes stands in the middle.
+        // The line that changes is in the middle.
         let half = self.pad[..self.pad.len() / 2].rfind('\n').map_or(0, |n| n + 1);
         let (before, after) = self.pad.split_at(half);
         format!("{head}{before}further(free = 4, per_taken = 0.25, span = {})\n{after}", self.changes)
     }
 
-    /// A word between a director and a voter: its bytes, if they are counted.
-    fn count(&mut self, f: usize, word: &impl serde::Serialize, document: bool) {
+    /// Counts the bytes of a message between director `f` and a voter, if they are to be counted.
+    fn count(&mut self, f: usize, message: &impl serde::Serialize, document: bool) {
         if !(self.counting.0 <= self.t && self.t < self.counting.1) {
             return;
         }
         if let Some((bytes, words, documents)) = self.counted.get_mut(&f) {
             self.scratch.clear();
-            if serde_json::to_writer(&mut self.scratch, word).is_ok() {
+            if serde_json::to_writer(&mut self.scratch, message).is_ok() {
                 let n = self.scratch.len() as u64 + 1;
                 *bytes += n;
                 *words += 1;
@@ -313,91 +317,91 @@
     fn flush(&mut self, k: usize) {
         let (write, out) = self.voters[k].take_output();
         if write.is_some() {
-            self.busy[k] = self.t + WRITE.0 + (WRITE.1 - WRITE.0) * self.rng.f64();
+            self.busy[k] = self.t + MIN_WRITE_TIME + (MAX_WRITE_TIME - MIN_WRITE_TIME) * self.rng.f64();
         }
         let sent = self.busy[k].max(self.t);
         for o in out {
             match o {
-                Output::Message(to, word) => {
+                Output::Message(to, message) => {
                     let to = usize::from(to.0);
-                    self.carry(sent, k, to, Event::Word(to, VoterId(k as u8), word));
+                    self.deliver(sent, k, to, Event::Message(to, VoterId(k as u8), message));
                 }
-                Output::Broadcast(word) => {
+                Output::Broadcast(message) => {
                     for to in (0..self.voters.len()).filter(|to| *to != k) {
-                        self.carry(sent, k, to, Event::Word(to, VoterId(k as u8), word.clone()));
+                        self.deliver(sent, k, to, Event::Message(to, VoterId(k as u8), message.clone()));
                     }
                 }
-                Output::Response(client, tell) if client < OPERATORS => {
+                Output::Response(client, response) if client < FIRST_OPERATOR => {
                     let f = client as usize;
-                    self.carry(sent, k, self.plan.voters + f, Event::Told(f, k, tell));
+                    self.deliver(sent, k, self.plan.voters + f, Event::Response(f, k, response));
                 }
-                Output::Response(client, tell) => {
-                    let late = LATE.0 + (LATE.1 - LATE.0) * self.rng.f64();
-                    self.at(sent + late, Event::Outcome(client - OPERATORS, tell));
+                Output::Response(client, response) => {
+                    let delay = MIN_MESSAGE_DELAY + (MAX_MESSAGE_DELAY - MIN_MESSAGE_DELAY) * self.rng.f64();
+                    self.schedule(sent + delay, Event::Outcome(client - FIRST_OPERATOR, response));
                 }
             }
         }
         let next = (self.voters[k].next_timer_at() / self.rates[k]).max(self.t + 0.001);
         if next < self.tick_at[k] || self.tick_at[k] <= self.t {
             self.tick_at[k] = next;
-            self.at(next, Event::Tick(k));
+            self.schedule(next, Event::Tick(k));
         }
     }
 
-    /// Asks what is due, looks, and sees to it that it is looked at again.
-    fn work(&mut self, f: usize) {
+    /// Sends the due requests of director `f`, records its state and schedules its next poll.
+    fn poll_director(&mut self, f: usize) {
         let site = self.plan.voters + f;
         let (now, rate) = (self.local(site), self.rates[site]);
-        for (voter, ask) in follower::due_requests(&mut self.followers[f], now, self.plan.voters) {
+        for (voter, request) in follower::due_requests(&mut self.followers[f], now, self.plan.voters) {
             let k = usize::from(voter.0);
-            self.count(f, &ask, false);
+            self.count(f, &request, false);
             self.asked += u64::from(self.span.0 <= self.t && self.t < self.span.1);
-            self.carry(self.t, site, k, Event::Asked(k, f as u64, ask));
+            self.deliver(self.t, site, k, Event::Request(k, f as u64, request));
         }
         self.tracker.observe(self.t, f, &self.followers[f], now, |local| local / rate);
         let due = self.followers[f].next_request_at().min(self.followers[f].next_change_at(now)) / rate;
-        // A moment after it is due, or a sum of times may fall short of it.
-        let due = (due + SOON).max(self.t + SOON);
+        // Slightly late, as rounding of sums of times may fall short of the due time.
+        let due = (due + MIN_POLL_INTERVAL).max(self.t + MIN_POLL_INTERVAL);
         if due < self.due_at[f] || self.due_at[f] <= self.t {
             self.due_at[f] = due;
-            self.at(due, Event::Due(f));
+            self.schedule(due, Event::Due(f));
         }
     }
 
-    /// A new change, by an operator of its own.
+    /// Starts a new change with its own operator.
     fn change(&mut self) {
         self.changes += 1;
         let n = self.changes;
         let value = Value { id: self.rng.u64(..), text: self.text() };
-        let k = self.home();
+        let k = self.first_voter();
         let after = self.voters[k].durable().newest();
         self.operators.insert(n, Operator { first: self.t, value, after, tries: 0 });
-        self.at(self.t, Event::Propose(n, k));
+        self.schedule(self.t, Event::Propose(n, k));
     }
 
-    /// Where operators ask first: of the voters that are not cut off the first on the list.
-    fn home(&self) -> usize {
+    /// The voter that operators ask first: the first that is not cut off.
+    fn first_voter(&self) -> usize {
         usize::from(self.plan.cut)
     }
 
     fn propose(&mut self, n: u64, k: usize) {
         let Some(o) = self.operators.get_mut(&n) else { return };
         o.tries += 1;
-        if o.tries > TRIES {
+        if o.tries > MAX_PROPOSALS {
             self.operators.remove(&n);
             self.out.given_up += 1;
             return;
         }
-        let ask = ClientRequest::Propose { after: o.after, value: o.value.clone(), sure: false };
-        let late = LATE.0 + (LATE.1 - LATE.0) * self.rng.f64();
+        let request = ClientRequest::Propose { after: o.after, value: o.value.clone(), sure: false };
+        let delay = MIN_MESSAGE_DELAY + (MAX_MESSAGE_DELAY - MIN_MESSAGE_DELAY) * self.rng.f64();
         self.out.proposals += u64::from(self.t >= self.span.0);
-        self.at(self.t + late, Event::Asked(k, OPERATORS + n, ask));
+        self.schedule(self.t + delay, Event::Request(k, FIRST_OPERATOR + n, request));
     }
 
-    fn outcome(&mut self, n: u64, tell: VoterResponse) {
-        let home = self.home();
+    fn outcome(&mut self, n: u64, response: VoterResponse) {
+        let first_voter = self.first_voter();
         let Some(o) = self.operators.get_mut(&n) else { return };
-        match tell {
+        match response {
             VoterResponse::Agreed { number } => {
                 let first = o.first;
                 self.operators.remove(&n);
@@ -413,19 +417,20 @@
                 }
             }
             VoterResponse::Lost { newest, .. } => {
-                // Made anew from what came first, and proposed at once.
+                // Rebased on the newest version and proposed at once.
                 o.after = newest;
                 o.value.id = self.rng.u64(..);
                 self.out.proposals_lost += u64::from(self.t >= self.span.0);
-                self.at(self.t, Event::Propose(n, home));
+                self.schedule(self.t, Event::Propose(n, first_voter));
             }
             VoterResponse::NotTaken { .. } | VoterResponse::Unknown { .. } => {
-                // The same at the next voter, as the daemon's own command does; after the last one, after a while.
-                let next = (home + o.tries as usize) % self.plan.voters;
-                let next = if self.plan.cut && next == 0 { home } else { next };
+                // Tried at the next voter, as the daemon's command does; with a delay after the last voter.
+                let next = (first_voter + o.tries as usize) % self.plan.voters;
+                let next = if self.plan.cut && next == 0 { first_voter } else { next };
                 self.out.proposals_not_taken += u64::from(self.t >= self.span.0);
-                let wait = if next == home { OPERATOR * (1.0 + self.rng.f64()) } else { 0.0 };
-                self.at(self.t + wait, Event::Propose(n, next));
+                let wait =
+                    if next == first_voter { OPERATOR_RETRY_DELAY * (1.0 + self.rng.f64()) } else { 0.0 };
+                self.schedule(self.t + wait, Event::Propose(n, next));
             }
             _ => {}
         }
@@ -433,21 +438,21 @@
 
     fn step(&mut self, event: Event) {
         let voter = match &event {
-            Event::Word(k, ..) | Event::Asked(k, ..) | Event::Tick(k) => Some(*k),
+            Event::Message(k, ..) | Event::Request(k, ..) | Event::Tick(k) => Some(*k),
             _ => None,
         };
         if let Some(k) = voter.filter(|k| self.busy[*k] > self.t) {
-            return self.at(self.busy[k], event);
+            return self.schedule(self.busy[k], event);
         }
         match event {
-            Event::Word(k, from, word) => {
+            Event::Message(k, from, message) => {
                 let now = self.local(k);
-                self.voters[k].handle_message(now, from, word);
+                self.voters[k].handle_message(now, from, message);
                 self.flush(k);
             }
-            Event::Asked(k, client, ask) => {
+            Event::Request(k, client, request) => {
                 let now = self.local(k);
-                self.voters[k].handle_request(now, client, ask);
+                self.voters[k].handle_request(now, client, request);
                 self.flush(k);
             }
             Event::Tick(k) => {
@@ -456,26 +461,26 @@
                 self.tick_at[k] = f64::INFINITY;
                 self.flush(k);
             }
-            Event::Told(f, k, tell) => {
-                let plain = self.counted.contains_key(&f).then(|| follower::is_plain_grant(&tell));
+            Event::Response(f, k, response) => {
+                let plain = self.counted.contains_key(&f).then(|| follower::is_plain_grant(&response));
                 if let Some(plain) = plain {
-                    self.count(f, &tell, !plain);
+                    self.count(f, &response, !plain);
                 }
                 let now = self.local(self.plan.voters + f);
-                if let VoterResponse::Refused { why, .. } = &tell
+                if let VoterResponse::Refused { why, .. } = &response
                     && (self.span.0..self.span.1).contains(&self.t)
-                    && (self.out.refused.len() < KINDS || self.out.refused.contains_key(why))
+                    && (self.out.refused.len() < MAX_REFUSAL_REASONS || self.out.refused.contains_key(why))
                 {
                     *self.out.refused.entry(why.clone()).or_default() += 1;
                 }
-                // What is wrong with an answer is the follower's to say in a log.
-                let _ = self.followers[f].handle_response(now, VoterId(k as u8), tell);
-                self.work(f);
+                // A real director logs errors in responses; they do not matter here.
+                let _ = self.followers[f].handle_response(now, VoterId(k as u8), response);
+                self.poll_director(f);
             }
             Event::Due(f) => {
                 if self.t >= self.due_at[f] {
                     self.due_at[f] = f64::INFINITY;
-                    self.work(f);
+                    self.poll_director(f);
                 }
             }
             Event::Change => {
@@ -484,53 +489,53 @@
                 }
                 if self.t < self.span.1 && self.plan.burst == 0 {
                     let wait = -(1.0 - self.rng.f64()).ln() / self.plan.rate;
-                    self.at(self.t + wait, Event::Change);
+                    self.schedule(self.t + wait, Event::Change);
                 }
             }
             Event::Propose(n, k) => self.propose(n, k),
-            Event::Outcome(n, tell) => self.outcome(n, tell),
+            Event::Outcome(n, response) => self.outcome(n, response),
         }
     }
 
     fn run(mut self, until: Instant) -> Outcome {
         for k in 0..self.plan.voters {
-            self.at(0.0, Event::Tick(k));
+            self.schedule(0.0, Event::Tick(k));
         }
         let lease = kelpdoor_agreement::lease_duration(self.plan.contradiction);
         for f in 0..self.plan.directors {
-            // They start within a lease, and so ask at different times.
+            // Starts are spread over a quarter of a lease, so that directors ask at different times.
             let first = lease * self.rng.f64() / 4.0;
             self.due_at[f] = first;
-            self.at(first, Event::Due(f));
+            self.schedule(first, Event::Due(f));
         }
         self.change();
         let begin = self.span.0;
         match self.plan.burst {
             0 if self.plan.rate > 0.0 => {
                 let wait = -(1.0 - self.rng.f64()).ln() / self.plan.rate;
-                self.at(begin + wait, Event::Change);
+                self.schedule(begin + wait, Event::Change);
             }
             0 => {}
-            _ => self.at(begin, Event::Change),
+            _ => self.schedule(begin, Event::Change),
         }
         self.tracker.set_span(self.span.0, self.span.1);
-        // Then time for the last change to be in force.
-        let calm = 3.0 * self.plan.contradiction + 10.0;
-        let end = self.span.1 + calm;
+        // Leaves time for the last change to be in force.
+        let settle_seconds = 3.0 * self.plan.contradiction + 10.0;
+        let end = self.span.1 + settle_seconds;
         let mut healing = VecDeque::from([self.span.1]);
         while let Some(key) = self.keys.pop() {
             if key.0 > end || self.out.cut_short {
                 break;
             }
             self.out.events += 1;
-            if self.out.events.is_multiple_of(LOOK) && Instant::now() >= until {
+            if self.out.events.is_multiple_of(EVENTS_PER_TIME_CHECK) && Instant::now() >= until {
                 self.out.cut_short = true;
                 break;
             }
             self.t = key.0;
             if healing.front().is_some_and(|at| self.t >= *at) {
                 healing.pop_front();
-                self.steady();
+                self.record_span();
             }
             let event = self.events.get_mut(key.2).and_then(Option::take);
             self.free.push(key.2);
@@ -538,11 +543,11 @@
                 self.step(event);
             }
         }
-        self.over()
+        self.finish()
     }
 
-    /// The span is over: what was counted in it.
-    fn steady(&mut self) {
+    /// Records the counters at the end of the span.
+    fn record_span(&mut self) {
         let n = self.counted.len().max(1) as f64;
         let length = (self.t.min(self.span.1) - self.span.0).max(f64::MIN_POSITIVE);
         let sum = |of: fn(&(u64, u64, u64)) -> u64, all: &BTreeMap<usize, (u64, u64, u64)>| {
@@ -565,9 +570,9 @@
         }
     }
 
-    fn over(mut self) -> Outcome {
+    fn finish(mut self) -> Outcome {
         if self.t < self.span.1 {
-            self.steady();
+            self.record_span();
         }
         let (from, to) = self.span;
         let mut of = std::mem::take(&mut self.out);
@@ -591,33 +596,34 @@
     }
 }
 
-/// s of a core that a director's loop spends a second on following, steady, as a real one does: a look at all voters for
-/// each answer, with documents of that size; without reading, connections and JSON. Over so many seconds of virtual time.
+/// Processor time per second that a director's loop spends on following in the steady state: a poll of all voters for each
+/// response, with documents of the given size, without reading, connections and JSON. Averaged over `seconds` of virtual
+/// time.
 pub fn director_loop_cost(voters: usize, contradiction: f64, document: usize, seconds: f64) -> f64 {
     let plan = SimulationPlan { voters, contradiction, document, ..SimulationPlan::default() };
-    let mut sim = Sim::new(&plan);
+    let mut sim = Simulation::new(&plan);
     let ids: Vec<VoterId> = (0..voters as u8).map(VoterId).collect();
     let text = sim.text();
     let mut follower = follower::follower("director", 1);
     let lease = kelpdoor_agreement::lease_duration(contradiction);
     let (mut spent, mut now) = (0.0, 0.0);
     for v in &mut sim.voters {
-        let word = VoterMessage::Learn { number: 1, id: 1, text: text.clone() };
-        v.handle_message(0.0, ids[0], word);
+        let message = VoterMessage::Learn { number: 1, id: 1, text: text.clone() };
+        v.handle_message(0.0, ids[0], message);
         v.take_output();
     }
     while now < 2.0 * lease + seconds {
         let began = Instant::now();
-        let asks = follower::poll_like_director(&mut follower, now, voters);
+        let requests = follower::poll_like_director(&mut follower, now, voters);
         let mut took = began.elapsed();
-        for (id, ask) in asks {
+        for (id, request) in requests {
             let voter = &mut sim.voters[usize::from(id.0)];
-            voter.handle_request(now, 1, ask);
+            voter.handle_request(now, 1, request);
             for out in voter.take_output().1 {
-                if let Output::Response(_, tell) = out {
+                if let Output::Response(_, response) = out {
                     let began = Instant::now();
-                    // An answer that does not count costs the same.
-                    let _ = follower.handle_response(now, id, tell);
+                    // A response with an error costs the same.
+                    let _ = follower.handle_response(now, id, response);
                     follower::poll_like_director(&mut follower, now, voters);
                     took += began.elapsed();
                 }
@@ -631,7 +637,7 @@
     spent / seconds
 }
 
-/// Plays a plan; cut short at `until`.
+/// Runs a simulation; it is cut short at `until`.
 pub fn simulate(plan: &SimulationPlan, until: Instant) -> Outcome {
-    Sim::new(plan).run(until)
+    Simulation::new(plan).run(until)
 }
