--- a/crates/kelpdoor-lab/src/scale/changes.rs
+++ b/crates/kelpdoor-lab/src/scale/changes.rs
@@ -1,5 +1,5 @@
-//! Changes of the rules at a rate: how much of the time directors may begin sessions, how fast a change is in force, what it
-//! costs on the wire. In virtual time with the very cores, and on processes at small size.
+//! Cost of changes of the rules: the fraction of time in which directors may begin sessions, the time until a change is in
+//! force, and the bytes on the wire. Measured in virtual time with the real cores, and on processes at small size.
 
 use std::cell::{Cell, RefCell};
 use std::path::{Path, PathBuf};
@@ -19,65 +19,81 @@
 use super::hollow::{self, HollowSpec};
 use super::points::{Point, Points};
 use super::simulate::{Outcome, SimulationPlan, director_loop_cost, simulate};
-use super::voters::{FLEET, HOLLOW, Operator, Voters, bar, write};
+use super::voters::{FLEET, HOLLOW, Operator, Voters, progress_bar, write};
 
-/// Voters in virtual time: one in each region of the target.
+/// Voters in virtual time; one in each region of the target.
 const VOTERS: usize = 5;
-/// Directors where documents of each size are told, and changes a second and s of that: bytes do not go with their number.
-const TOLD: (usize, f64, f64) = (10, 0.58, 30.0);
-/// Directors and s of a region that is cut off; a fifth of them are in it.
-const CUT: (usize, f64) = (50, 3600.0);
-/// Changes of a burst, and s in which they are to be in force.
-const BURST: (u32, f64) = (50, 30.0);
+/// Directors in runs by document size; the bytes of each do not depend on their number.
+const DOCUMENT_DIRECTORS: usize = 10;
+/// Changes per second in runs by document size.
+const DOCUMENT_RATE: f64 = 0.58;
+/// Duration of runs by document size, in seconds.
+const DOCUMENT_SPAN: f64 = 30.0;
+/// Directors in runs with a region cut off; a fifth of them are in that region.
+const CUT_DIRECTORS: usize = 50;
+/// Duration of a partition, in seconds.
+const CUT_SPAN: f64 = 3600.0;
+/// Changes in a burst.
+const BURST_CHANGES: u32 = 50;
+/// Seconds within which a burst has to be in force.
+const BURST_SPAN: f64 = 30.0;
 /// Leases over which a director's loop is timed.
-const COST: f64 = 10.0;
-/// On processes: voters, hollow directors, s measured, changes a second, and bytes of the document.
-const PROCESSES: (usize, usize, f64) = (3, 40, 30.0);
+const LOOP_COST_LEASES: f64 = 10.0;
+/// Voters in runs on processes.
+const PROCESS_VOTERS: usize = 3;
+/// Hollow directors in runs on processes.
+const PROCESS_DIRECTORS: usize = 40;
+/// Duration of runs on processes, in seconds.
+const PROCESS_SPAN: f64 = 30.0;
+/// Changes per second in runs on processes.
 const PROCESS_RATES: [f64; 2] = [0.58, 5.8];
+/// Size in bytes of the document in runs on processes.
 const PROCESS_DOCUMENT: usize = 2000;
-/// All hollow directors have a lease by then; what comes about is looked for so often.
-const COME: Duration = Duration::from_secs(15);
-const LOOK: Duration = Duration::from_millis(50);
-/// Times that an operator proposes one change; then it is given up.
-const TRIES: u32 = 60;
-/// Questions of one simulation at most: ten minutes of 300 directors that ask five voters for leases of 1 s.
-const QUESTIONS: f64 = 3.6e6;
-/// What virtual time leaves out.
-const VIRTUAL: &str = "virtual time, the very cores; no connections, no desk, a document's first line read";
+/// Time limit for all hollow directors to obtain a lease.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
+/// Interval between two checks for a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Proposals of one change before its operator gives up.
+const MAX_PROPOSALS: u32 = 60;
+/// Most requests of one simulation: ten minutes of 300 directors that ask five voters for leases of 1 s.
+const MAX_REQUESTS: f64 = 3.6e6;
+/// What virtual time leaves out; stored with the points.
+const VIRTUAL_TIME: &str =
+    "virtual time, the very cores; no connections, no desk, a document's first line read";
 
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// Changes a second.
+    /// Changes per second.
     #[arg(long, value_delimiter = ',', default_values_t = [0.1, 0.58, 2.0, 5.8])]
     pub rates: Vec<f64>,
-    /// s; longest contradictions that documents state.
+    /// Longest contradictions that documents state, in seconds.
     #[arg(long, value_delimiter = ',', default_values_t = [2.0, 10.0])]
     pub contradictions: Vec<f64>,
-    /// Bytes of documents.
+    /// Sizes of documents in bytes.
     #[arg(long, value_delimiter = ',', default_values_t = [2_000, 20_000, 200_000])]
     pub documents: Vec<usize>,
-    /// s of virtual time for each rate.
+    /// Virtual time for each rate, in seconds.
     #[arg(long, default_value_t = 600.0)]
     pub span: f64,
-    /// Questions of directors simulated for one figure at most: the span is shortened to that where directors are many.
-    #[arg(long, default_value_t = QUESTIONS)]
+    /// Most requests of directors simulated for one figure; the span is shortened accordingly for many directors.
+    #[arg(long, default_value_t = MAX_REQUESTS)]
     pub questions: f64,
-    /// Simulated at a time.
+    /// Simulations run in parallel.
     #[arg(long, default_value_t = 4)]
     pub at_once: usize,
-    /// s; cut off after that, too.
+    /// Time limit of this measurement in seconds, in addition to that of all measurements.
     #[arg(long, default_value_t = 330.0)]
     pub most: f64,
-    /// The points alone are written there, as JSON.
+    /// File to write the points to, as JSON.
     #[arg(long)]
     pub points: Option<PathBuf>,
-    /// What is run as voters; this program where absent.
+    /// Program to run as voters; this program by default.
     #[arg(long, hide = true)]
     pub program: Option<PathBuf>,
-    /// Leave out what is measured on processes.
+    /// Skip the measurement on processes.
     #[arg(long)]
     pub no_processes: bool,
-    /// Leave out what is measured in virtual time.
+    /// Skip the measurement in virtual time.
     #[arg(long)]
     pub no_virtual: bool,
 }
@@ -89,7 +105,7 @@
             contradictions: vec![2.0, 10.0],
             documents: vec![2_000, 20_000, 200_000],
             span: 600.0,
-            questions: QUESTIONS,
+            questions: MAX_REQUESTS,
             at_once: 4,
             most: 330.0,
             points: None,
@@ -100,32 +116,34 @@
     }
 }
 
+/// Measures changes of the rules.
+///
 /// # Errors
-/// What could not be measured.
-pub async fn measure(all: &Scale, of: &Options) -> Result<Points> {
-    ensure!(of.rates.iter().all(|r| *r > 0.0 && *r <= 50.0), "--rates: above 0 to 50 changes a second");
-    ensure!(of.contradictions.iter().all(|c| (0.5..=60.0).contains(c)), "--contradictions: 0.5 to 60 s");
-    ensure!(of.documents.iter().all(|b| *b <= 250_000), "--documents: 250,000 bytes at most");
-    ensure!((1.0..=86_400.0).contains(&of.span), "--span: 1 s to a day");
-    let until = Instant::now() + Duration::from_secs_f64(all.within.min(of.most).clamp(0.0, 1e6));
+/// An option is out of range, a voter cannot be started, or the points cannot be written.
+pub async fn measure(all: &Scale, options: &Options) -> Result<Points> {
+    ensure!(options.rates.iter().all(|r| *r > 0.0 && *r <= 50.0), "--rates: above 0 to 50 changes a second");
+    ensure!(options.contradictions.iter().all(|c| (0.5..=60.0).contains(c)), "--contradictions: 0.5 to 60 s");
+    ensure!(options.documents.iter().all(|b| *b <= 250_000), "--documents: 250,000 bytes at most");
+    ensure!((1.0..=86_400.0).contains(&options.span), "--span: 1 s to a day");
+    let until = Instant::now() + Duration::from_secs_f64(all.within.min(options.most).clamp(0.0, 1e6));
     let mut points = Points::default();
-    if !of.no_processes {
-        on_processes(of, until, &mut points).await?;
+    if !options.no_processes {
+        on_processes(options, until, &mut points).await?;
     }
-    if !of.no_virtual {
-        let (plans, at_once) = (plans(all, of), of.at_once);
-        let done = tokio::task::spawn_blocking(move || play(plans, at_once, until)).await?;
-        done.into_iter().for_each(|(cell, o)| cell.points(&o, &mut points));
-        costs(all, of, &mut points);
+    if !options.no_virtual {
+        let (plans, at_once) = (plans(all, options), options.at_once);
+        let done = tokio::task::spawn_blocking(move || run_simulations(plans, at_once, until)).await?;
+        done.into_iter().for_each(|(run, o)| run.points(&o, &mut points));
+        measure_loop_cost(all, options, &mut points);
     }
-    write(of.points.as_deref(), &points)?;
+    write(options.points.as_deref(), &points)?;
     Ok(points)
 }
 
-/// What a director's loop costs, by the size of the document.
-fn costs(all: &Scale, of: &Options, to: &mut Points) {
-    for &contradiction in &of.contradictions {
-        for (seed, &document) in (1..=all.seeds).flat_map(|s| of.documents.iter().map(move |d| (s, d))) {
+/// Measures the processor time of a director's loop by document size.
+fn measure_loop_cost(all: &Scale, options: &Options, to: &mut Points) {
+    for &contradiction in &options.contradictions {
+        for (seed, &document) in (1..=all.seeds).flat_map(|s| options.documents.iter().map(move |d| (s, d))) {
             let lease = kelpdoor_agreement::lease_duration(contradiction);
             to.points.push(Point {
                 role: "director".into(),
@@ -133,7 +151,7 @@
                 unit: "core".into(),
                 by: "document bytes".into(),
                 x: document as f64,
-                y: director_loop_cost(VOTERS, contradiction, document, COST * lease),
+                y: director_loop_cost(VOTERS, contradiction, document, LOOP_COST_LEASES * lease),
                 seed,
                 at: format!("{VOTERS} voters, contradiction {contradiction} s"),
                 hollow: "a director's loop alone: no reading, no connections, no JSON".into(),
@@ -142,7 +160,7 @@
     }
 }
 
-/// What of an outcome becomes points.
+/// Kind of a run; selects the points taken from its outcome.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Kind {
     Rate,
@@ -152,73 +170,75 @@
     Processes,
 }
 
-/// One run, and what it is for.
+/// One simulation to run.
 #[derive(Clone, Debug)]
 struct Run {
     kind: Kind,
     plan: SimulationPlan,
 }
 
-/// s of virtual time of so many directors that come to that many questions at most.
-fn span(of: &Options, directors: usize, contradiction: f64) -> f64 {
-    // Four in each lease to each voter.
+/// Seconds of virtual time, shortened so that all directors send at most `questions` requests.
+fn span(options: &Options, directors: usize, contradiction: f64) -> f64 {
+    // Each director sends four requests per lease to each voter.
     let rate = directors as f64 * VOTERS as f64 * 4.0 / kelpdoor_agreement::lease_duration(contradiction);
-    of.span.min((of.questions / rate).max(1.0)).round()
+    options.span.min((options.questions / rate).max(1.0)).round()
 }
 
-/// All runs, those first that matter most: short of time the last are left out.
-fn plans(all: &Scale, of: &Options) -> Vec<Run> {
+/// All runs, the most important first, as the last are left out when time runs out.
+fn plans(all: &Scale, options: &Options) -> Vec<Run> {
     let plan = SimulationPlan { voters: VOTERS, ..SimulationPlan::default() };
-    let mut cells = Vec::new();
+    let mut runs = Vec::new();
     let least = all.sizes.iter().copied().min().unwrap_or(0);
     for seed in 1..=all.seeds {
-        for &contradiction in &of.contradictions {
+        for &contradiction in &options.contradictions {
             let plan = SimulationPlan { seed, contradiction, ..plan.clone() };
-            // The spread of seeds is taken where it is cheap; what grows with directors is seen of one.
+            // Larger sizes run with one seed only; the smallest is cheap enough to show the variation between seeds.
             for &directors in all.sizes.iter().filter(|d| seed == 1 || **d == least) {
-                let span = span(of, directors, contradiction);
-                let (burst, within) = BURST;
+                let span = span(options, directors, contradiction);
+                let (burst, within) = (BURST_CHANGES, BURST_SPAN);
                 let of_burst = SimulationPlan { directors, burst, span: within, ..plan.clone() };
-                cells.push(Run { kind: Kind::Burst, plan: of_burst });
+                runs.push(Run { kind: Kind::Burst, plan: of_burst });
                 let at = |rate: &f64| SimulationPlan { directors, rate: *rate, span, ..plan.clone() };
-                cells.extend(of.rates.iter().map(at).map(|plan| Run { kind: Kind::Rate, plan }));
+                runs.extend(options.rates.iter().map(at).map(|plan| Run { kind: Kind::Rate, plan }));
             }
-            let (directors, rate, span) = TOLD;
-            let told = |document: &usize| SimulationPlan {
+            let (directors, rate, span) = (DOCUMENT_DIRECTORS, DOCUMENT_RATE, DOCUMENT_SPAN);
+            let with_document = |document: &usize| SimulationPlan {
                 directors,
                 rate,
                 span,
                 document: *document,
                 ..plan.clone()
             };
-            cells.extend(of.documents.iter().map(told).map(|plan| Run { kind: Kind::Document, plan }));
-            let (directors, span) = CUT;
-            cells.push(Run {
+            runs.extend(
+                options.documents.iter().map(with_document).map(|plan| Run { kind: Kind::Document, plan }),
+            );
+            let (directors, span) = (CUT_DIRECTORS, CUT_SPAN);
+            runs.push(Run {
                 kind: Kind::Cut,
                 plan: SimulationPlan { directors, rate, span, cut: true, ..plan },
             });
         }
     }
-    cells
+    runs
 }
 
-/// Plays all, some at a time; what could be played until then.
-fn play(cells: Vec<Run>, at_once: usize, until: Instant) -> Vec<(Run, Outcome)> {
-    let bar = bar(cells.len() as u64, "simulations");
+/// Runs all simulations, `at_once` in parallel; those not started by `until` are returned as cut short.
+fn run_simulations(runs: Vec<Run>, at_once: usize, until: Instant) -> Vec<(Run, Outcome)> {
+    let bar = progress_bar(runs.len() as u64, "simulations");
     let next = AtomicUsize::new(0);
     let done = Arc::new(Mutex::new(Vec::new()));
     std::thread::scope(|s| {
         for _ in 0..at_once.clamp(1, 64) {
             s.spawn(|| {
-                while let Some(cell) = cells.get(next.fetch_add(1, Ordering::Relaxed)) {
+                while let Some(run) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let outcome = if Instant::now() < until {
-                        simulate(&cell.plan, until)
+                        simulate(&run.plan, until)
                     } else {
                         Outcome { cut_short: true, ..Outcome::default() }
                     };
                     bar.inc(1);
                     if let Ok(mut done) = done.lock() {
-                        done.push((cell.clone(), outcome));
+                        done.push((run.clone(), outcome));
                     }
                 }
             });
@@ -231,7 +251,7 @@
     all
 }
 
-/// Of sorted values; none: nothing to tell.
+/// Quantile of sorted values; `None` if there are none.
 pub fn quantile(of: &[f64], q: f64) -> Option<f64> {
     of.get((q * of.len().saturating_sub(1) as f64).round() as usize).copied()
 }
@@ -240,7 +260,7 @@
     (!of.is_empty()).then(|| of.iter().sum::<f64>() / of.len() as f64)
 }
 
-fn least(of: &[f64]) -> Option<f64> {
+fn min_value(of: &[f64]) -> Option<f64> {
     of.iter().copied().min_by(f64::total_cmp)
 }
 
@@ -272,7 +292,7 @@
                 self.kind, o.why_given_up
             ));
         }
-        let least_part = least(&o.begin_fractions);
+        let min_fraction = min_value(&o.begin_fractions);
         let (by, x, at) = match self.kind {
             Kind::Rate => ("changes/s", p.rate, format!("{} directors", p.directors)),
             Kind::Burst => ("directors", p.directors as f64, format!("burst of {}", p.burst)),
@@ -281,7 +301,7 @@
             Kind::Cut => ("directors", p.directors as f64, format!("a region cut off, {} changes/s", p.rate)),
         };
         let at = format!("{} voters, {at}, contradiction {} s, {:.0} s", p.voters, p.contradiction, p.span);
-        let hollow = if self.kind == Kind::Processes { HOLLOW } else { VIRTUAL };
+        let hollow = if self.kind == Kind::Processes { HOLLOW } else { VIRTUAL_TIME };
         let mut put = |role: &str, what: &str, unit: &str, y: Option<f64>| {
             let Some(y) = y else { return };
             let (role, what, unit, by) = (role.into(), what.into(), unit.into(), by.into());
@@ -296,7 +316,7 @@
             return;
         }
         put("fleet", "part of the time in which directors may begin, mean", "of 1", mean(&o.begin_fractions));
-        put("fleet", "part of the time in which directors may begin, worst director", "of 1", least_part);
+        put("fleet", "part of the time in which directors may begin, worst director", "of 1", min_fraction);
         for (what, all) in [("known by all", &o.known_delays), ("in force everywhere", &o.in_force_delays)] {
             for (name, q) in [("median", 0.5), ("p99", 0.99), ("most", 1.0)] {
                 put("fleet", &format!("{what}, {name}"), "s", quantile(all, q));
@@ -345,14 +365,14 @@
     }
 }
 
-/// Changes on real voters under hollow directors of this process: the check of virtual time.
-async fn on_processes(of: &Options, until: Instant, to: &mut Points) -> Result<()> {
-    let (voters, directors, span) = PROCESSES;
-    let program = of.program.clone().map_or_else(std::env::current_exe, Ok)?;
-    let contradiction = of.contradictions.first().copied().unwrap_or(2.0);
+/// Measures changes on real voters under hollow directors in this process, as a check of virtual time.
+async fn on_processes(options: &Options, until: Instant, to: &mut Points) -> Result<()> {
+    let (voters, directors, span) = (PROCESS_VOTERS, PROCESS_DIRECTORS, PROCESS_SPAN);
+    let program = options.program.clone().map_or_else(std::env::current_exe, Ok)?;
+    let contradiction = options.contradictions.first().copied().unwrap_or(2.0);
     for rate in PROCESS_RATES {
         let document = PROCESS_DOCUMENT;
-        let span = span.min(of.span);
+        let span = span.min(options.span);
         let plan = SimulationPlan {
             seed: 1,
             directors,
@@ -363,16 +383,16 @@
             document,
             ..SimulationPlan::default()
         };
-        let cell = Run { kind: Kind::Processes, plan: plan.clone() };
+        let run = Run { kind: Kind::Processes, plan: plan.clone() };
         let left = until.saturating_duration_since(Instant::now()).as_secs_f64();
         let outcome = if left < 2.0 * span { Outcome::default() } else { on_process(plan, &program).await? };
-        cell.points(&outcome, to);
+        run.points(&outcome, to);
     }
     Ok(())
 }
 
-/// What operators know of each other's proposals, and what came of them.
-struct Desk {
+/// State that the operators of a run on processes share.
+struct OperatorContext {
     voters: Voters,
     hollows: hollow::HollowDirectors,
     newest: Cell<u64>,
@@ -392,93 +412,93 @@
             within: kelpdoor_agreement::lease_duration(plan.contradiction),
         };
         let hollows = hollow::start(spec);
-        let come = Instant::now() + COME;
-        while hollows.stats().begin < plan.directors && Instant::now() < come {
-            sleep(LOOK).await;
+        let start_deadline = Instant::now() + START_TIMEOUT;
+        while hollows.stats().begin < plan.directors && Instant::now() < start_deadline {
+            sleep(POLL_INTERVAL).await;
         }
         let out = RefCell::new(Outcome::default());
-        let desk = Rc::new(Desk { voters, hollows, newest: Cell::new(1), out, plan });
-        let plan = &desk.plan;
-        let from = desk.hollows.now();
+        let context = Rc::new(OperatorContext { voters, hollows, newest: Cell::new(1), out, plan });
+        let plan = &context.plan;
+        let from = context.hollows.now();
         let to = from + plan.span;
-        desk.hollows.with_tracker(|b| b.set_span(from, to));
-        desk.hollows.reset_stats();
+        context.hollows.with_tracker(|b| b.set_span(from, to));
+        context.hollows.reset_stats();
         let mut rng = Rng::with_seed(plan.seed);
         let mut operators = JoinSet::new();
         let mut change = 0;
         loop {
             let wait = -(1.0 - rng.f64()).ln() / plan.rate;
-            let left = to - desk.hollows.now();
+            let left = to - context.hollows.now();
             sleep(Duration::from_secs_f64(wait.min(left).max(0.0))).await;
             if wait >= left {
                 break;
             }
             change += 1;
-            operators.spawn_local(operate(desk.clone(), change));
+            operators.spawn_local(operate(context.clone(), change));
         }
-        let seen = desk.hollows.stats();
-        let measured = desk.hollows.now() - from;
-        let parts = desk.hollows.with_tracker(|b| b.begin_fractions(to, |_| true));
+        let seen = context.hollows.stats();
+        let measured = context.hollows.now() - from;
+        let begin_fractions = context.hollows.with_tracker(|b| b.begin_fractions(to, |_| true));
         while operators.join_next().await.is_some() {}
-        // The last change comes to be in force.
-        let calm = Instant::now() + Duration::from_secs_f64(2.0 * plan.contradiction + 2.0);
+        // Wait for the last change to be in force.
+        let deadline = Instant::now() + Duration::from_secs_f64(2.0 * plan.contradiction + 2.0);
         let all_in_force =
-            || desk.hollows.with_tracker(|b| b.proposed_between(from, to).all(|v| v.force_at.is_some()));
-        while !all_in_force() && Instant::now() < calm {
-            sleep(LOOK).await;
+            || context.hollows.with_tracker(|b| b.proposed_between(from, to).all(|v| v.force_at.is_some()));
+        while !all_in_force() && Instant::now() < deadline {
+            sleep(POLL_INTERVAL).await;
         }
-        let mut out = desk.out.take();
+        let mut out = context.out.take();
         let n = plan.directors as f64;
         out.events = 1;
-        (out.measured, out.begin_fractions) = (measured, parts);
+        (out.measured, out.begin_fractions) = (measured, begin_fractions);
         let bytes: u64 = seen.voters.iter().map(|v| v.bytes.0 + v.bytes.1).sum();
-        let words: u64 = seen.voters.iter().map(|v| v.words.0 + v.words.1).sum();
+        let messages: u64 = seen.voters.iter().map(|v| v.words.0 + v.words.1).sum();
         let asked: u64 = seen.voters.iter().map(|v| v.asked).sum();
-        (out.bytes, out.messages) = (bytes as f64 / n / seen.seconds, words as f64 / n / seen.seconds);
+        (out.bytes, out.messages) = (bytes as f64 / n / seen.seconds, messages as f64 / n / seen.seconds);
         out.questions = asked as f64 / plan.voters as f64 / seen.seconds;
         out.refused = seen.refused;
-        desk.hollows.with_tracker(|b| out.versions(b, from, to));
+        context.hollows.with_tracker(|b| out.versions(b, from, to));
         Ok(out)
     })
     .await
 }
 
-/// An operator with one change, as the daemon's own command proposes it: to each voter in turn until one takes it.
-async fn operate(desk: Rc<Desk>, change: u64) {
-    let first = desk.hollows.now();
-    let text = desk.voters.document(desk.plan.document, desk.plan.contradiction, change);
-    let (mut after, mut id, mut at) = (desk.newest.get(), fastrand::u64(..), 0);
+/// Proposes one change as the daemon's command does: to each voter in turn until one takes it.
+async fn operate(context: Rc<OperatorContext>, change: u64) {
+    let first = context.hollows.now();
+    let text = context.voters.document(context.plan.document, context.plan.contradiction, change);
+    let (mut after, mut id, mut at) = (context.newest.get(), fastrand::u64(..), 0);
     let mut why = String::new();
-    for _ in 0..TRIES {
-        desk.out.borrow_mut().proposals += 1;
-        let told = async { Operator::to(desk.voters.at[at]).await?.propose(after, id, &text).await };
-        match told.await {
+    for _ in 0..MAX_PROPOSALS {
+        context.out.borrow_mut().proposals += 1;
+        let response = async { Operator::to(context.voters.at[at]).await?.propose(after, id, &text).await };
+        match response.await {
             Ok(VoterResponse::Agreed { number }) => {
-                desk.newest.set(desk.newest.get().max(number));
-                let now = desk.hollows.now();
-                desk.out.borrow_mut().decision_times.push(now - first);
-                desk.hollows.with_tracker(|b| b.record_agreed(number, first, now));
+                context.newest.set(context.newest.get().max(number));
+                let now = context.hollows.now();
+                context.out.borrow_mut().decision_times.push(now - first);
+                context.hollows.with_tracker(|b| b.record_agreed(number, first, now));
                 return;
             }
             Ok(VoterResponse::Lost { newest, .. }) => {
-                desk.out.borrow_mut().proposals_lost += 1;
-                desk.newest.set(desk.newest.get().max(newest));
+                context.out.borrow_mut().proposals_lost += 1;
+                context.newest.set(context.newest.get().max(newest));
                 (after, id, at) = (newest, fastrand::u64(..), 0);
             }
             other => {
-                desk.out.borrow_mut().proposals_not_taken += 1;
+                context.out.borrow_mut().proposals_not_taken += 1;
                 why = match other {
-                    Ok(tell) => format!("{tell:?}"),
+                    Ok(response) => format!("{response:?}"),
                     Err(e) => format!("{e:#}"),
                 };
-                at = (at + 1) % desk.plan.voters;
+                at = (at + 1) % context.plan.voters;
                 if at == 0 {
-                    sleep(LOOK.mul_f64(1.0 + fastrand::f64())).await;
+                    sleep(POLL_INTERVAL.mul_f64(1.0 + fastrand::f64())).await;
                 }
             }
         }
     }
-    let mut out = desk.out.borrow_mut();
+    let mut out = context.out.borrow_mut();
     out.given_up += 1;
     out.why_given_up = why;
 }
--- a/crates/kelpdoor-lab/src/scale/follower.rs
+++ b/crates/kelpdoor-lab/src/scale/follower.rs
@@ -129,7 +129,7 @@
 
 /// Tracks which versions each director of a run knows and acts on, and when.
 pub struct VersionTracker {
-    directors_state: Vec<DirectorState>,
+    directors: Vec<DirectorState>,
     versions: Vec<Version>,
     /// Interval in which the time to begin sessions is counted.
     span: (f64, f64),
@@ -152,7 +152,7 @@
     pub fn new(directors: usize, counts: impl Fn(usize) -> bool) -> Self {
         let counts: Vec<bool> = (0..directors).map(counts).collect();
         VersionTracker {
-            directors_state: vec![
+            directors: vec![
                 DirectorState {
                     from: f64::INFINITY,
                     until: f64::NEG_INFINITY,
@@ -175,13 +175,13 @@
     /// Sets the interval in which the time to begin sessions is counted.
     pub fn set_span(&mut self, from: f64, to: f64) {
         self.span = (from, to);
-        self.directors_state.iter_mut().for_each(|s| s.begin_seconds = 0.0);
+        self.directors.iter_mut().for_each(|s| s.begin_seconds = 0.0);
     }
 
     /// Sets the time from which recoveries are recorded.
     pub fn set_mark(&mut self, at: f64) {
         self.mark = at;
-        self.directors_state.iter_mut().for_each(|s| s.recovered_at = None);
+        self.directors.iter_mut().for_each(|s| s.recovered_at = None);
     }
 
     fn version(&mut self, number: u64) -> Option<&mut Version> {
@@ -207,7 +207,7 @@
         self.advance(t, d);
         let (all, counts) = (self.everywhere, usize::from(self.counts.get(d) == Some(&true)));
         let (known, acts) = (newest(follower), active_span(follower, now));
-        let Some(state) = self.directors_state.get_mut(d) else { return };
+        let Some(state) = self.directors.get_mut(d) else { return };
         let (knew, forced) = (state.known, state.in_force);
         state.known = known;
         if let Some(a) = acts {
@@ -246,7 +246,7 @@
 
     /// Advances an unchanged director to `t`.
     fn advance(&mut self, t: f64, d: usize) {
-        let Some(state) = self.directors_state.get_mut(d) else { return };
+        let Some(state) = self.directors.get_mut(d) else { return };
         let (from, to) = (state.from.max(state.observed_at), state.until.min(t));
         state.observed_at = t;
         if from >= to {
@@ -262,19 +262,19 @@
     /// For each selected director, the fraction of the span up to `t` in which it might begin sessions.
     pub fn begin_fractions(&mut self, t: f64, of: impl Fn(usize) -> bool) -> Vec<f64> {
         let length = t.min(self.span.1) - self.span.0;
-        let all: Vec<usize> = (0..self.directors_state.len()).filter(|d| of(*d)).collect();
+        let all: Vec<usize> = (0..self.directors.len()).filter(|d| of(*d)).collect();
         all.into_iter()
             .map(|d| {
                 self.advance(t, d);
-                if length > 0.0 { self.directors_state[d].begin_seconds / length } else { 0.0 }
+                if length > 0.0 { self.directors[d].begin_seconds / length } else { 0.0 }
             })
             .collect()
     }
 
     /// Seconds from the mark until each selected director may begin sessions, without those that may not yet.
     pub fn recovery_times(&self, of: impl Fn(usize) -> bool) -> Vec<f64> {
-        let directors_state = self.directors_state.iter().enumerate().filter(|(d, _)| of(*d));
-        directors_state.filter_map(|(_, s)| Some(s.recovered_at? - self.mark)).collect()
+        let directors = self.directors.iter().enumerate().filter(|(d, _)| of(*d));
+        directors.filter_map(|(_, s)| Some(s.recovered_at? - self.mark)).collect()
     }
 
     /// Versions proposed in the interval `from..to`.
--- a/crates/kelpdoor-lab/src/scale/hollow.rs
+++ b/crates/kelpdoor-lab/src/scale/hollow.rs
@@ -362,7 +362,7 @@
                 return;
             }
             for response in responses {
-                if !self.handle_response_line(v, response) {
+                if !self.handle_voter_response(v, response) {
                     return;
                 }
             }
@@ -370,7 +370,7 @@
     }
 
     /// Handles a response; returns whether to keep the connection.
-    fn handle_response_line(&self, v: usize, response: VoterResponse) -> bool {
+    fn handle_voter_response(&self, v: usize, response: VoterResponse) -> bool {
         self.group.count(v, |t| t.seen.words.1 += 1);
         let voter = VoterId(v as u8);
         match response {
--- a/crates/kelpdoor-lab/src/scale/sessions.rs
+++ b/crates/kelpdoor-lab/src/scale/sessions.rs
@@ -1,9 +1,8 @@
-//! A real director, as a process of its own, with sessions held by hollow viewers, and with many listed nodes.
+//! A real director in its own process, with sessions held by hollow viewers, and with many listed nodes.
 //!
-//! A hollow viewer is a real connection with a real session. What it leaves out: it plays nothing, and its messages
-//! come as answers to pings, for of its own accord a director tells a viewer whose session stands only of another rung,
-//! of a token that runs out and of the end. So a message here has a reading beside the writing, and its time is that of
-//! both ways: more than a delivery takes.
+//! A hollow viewer is a real connection with a real session that plays nothing. Its messages are responses to pings, as a
+//! director sends a viewer unasked only changes of rung, the expiry of a token and the end of the session. So each measured
+//! message also includes a read, and its time is that of the round trip: more than a delivery takes.
 
 mod viewer;
 
@@ -30,48 +29,48 @@
 use crate::fleet::{World, director_script, settings};
 use crate::record::Recorder;
 use crate::trouble::Size;
-use viewer::{Tally, viewer};
+use viewer::{ViewerCounters, viewer};
 
-/// s; a director takes all nodes for just started for so long, and some more.
-const SETTLE: f64 = 6.0;
-/// New sessions a second while viewers come; a director bears some times that.
-const COMING: f64 = 700.0;
-/// s; beyond what coming takes at that pace, until all sessions play or all links stand.
-const PATIENCE: f64 = 30.0;
-/// Of the messages that were to come; with fewer the rate was not reached.
-const REACHED: f64 = 0.98;
-/// Descriptors that the lab needs besides viewers and nodes.
-const OWN: u64 = 200;
-/// Threads of the lab for viewers, nodes and roster.
-const THREADS: usize = 4;
+/// Seconds to wait after the start; for most of it, a director regards all nodes as just started.
+const SETTLE_SECONDS: f64 = 6.0;
+/// New sessions per second while viewers connect; a director can handle several times that.
+const VIEWERS_PER_SECOND: f64 = 700.0;
+/// Seconds to wait, beyond the time at that rate, until all sessions play or all links are up.
+const SETUP_TIMEOUT: f64 = 30.0;
+/// Fraction of the expected messages below which the rate counts as not reached.
+const MIN_MESSAGE_FRACTION: f64 = 0.98;
+/// Descriptors reserved for the lab besides those of viewers and nodes.
+const RESERVED_DESCRIPTORS: u64 = 200;
+/// Threads that run viewers, nodes and the roster.
+const LAB_THREADS: usize = 4;
 
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// Sessions held at one director.
+    /// Numbers of sessions held at one director.
     #[arg(long, value_delimiter = ',', default_values_t = [1000, 2500, 5000, 10_000, 19_000])]
     pub held: Vec<usize>,
-    /// Messages to viewers a second, in all; at the most sessions and at the third-most.
+    /// Messages to all viewers per second, measured at the largest and third-largest number of sessions.
     #[arg(long, value_delimiter = ',', default_values_t = [1000.0, 3300.0, 6500.0, 13_100.0, 20_000.0])]
     pub messages: Vec<f64>,
-    /// Sessions of one title.
+    /// Sessions of each title.
     #[arg(long, default_value_t = 87)]
     pub listeners: usize,
-    /// Nodes while sessions are counted.
+    /// Number of nodes while sessions are measured.
     #[arg(long, default_value_t = 40)]
     pub nodes: u32,
-    /// Listed nodes, each with its link, and few sessions.
+    /// Numbers of listed nodes, each with a link, measured without sessions.
     #[arg(long, value_delimiter = ',', default_values_t = [40, 300, 1000, 2500, 5000])]
     pub listed: Vec<u32>,
-    /// Seeds at most, from 1 on.
+    /// Limit of the number of seeds.
     #[arg(long, default_value_t = 2)]
     pub most_seeds: u64,
-    /// s; each figure is measured over so long.
+    /// Duration of each measurement in seconds.
     #[arg(long, default_value_t = 3.0)]
     pub over: f64,
-    /// s; of these measurements alone.
+    /// Time limit of all measurements of this command in seconds.
     #[arg(long, default_value_t = 300.0)]
     pub for_sessions: f64,
-    /// What is run as the director; this very program where absent.
+    /// Program to run as the director; this program by default.
     #[arg(long, hide = true)]
     pub program: Option<PathBuf>,
 }
@@ -92,8 +91,10 @@
     }
 }
 
+/// Measures a director by sessions and by listed nodes. Measurements that fail or run out of time are reported as partial.
+///
 /// # Errors
-/// Where a process cannot be started; what takes too long or fails later is left out, and told.
+/// The lab's own runtime cannot be started.
 pub async fn measure(all: &Scale, of: &Options) -> Result<Points> {
     let program = match &of.program {
         Some(program) => program.clone(),
@@ -115,14 +116,15 @@
             for nodes in sizes {
                 let (run, bar) = (run.clone(), bar.clone());
                 let what = if listed { format!("{nodes} listed nodes") } else { "sessions".to_owned() };
-                if run.over() {
+                if run.out_of_time() {
                     points.partial.push(format!("{what}, seed {seed}: no time was left"));
                     continue;
                 }
                 bar.set_message(format!("{what}, seed {seed}"));
-                // A runtime of its own ends with all that runs in it.
+                // A separate runtime ends all its tasks when it is shut down.
                 let part = tokio::task::spawn_blocking(move || -> Result<Points> {
-                    let runtime = Builder::new_multi_thread().worker_threads(THREADS).enable_all().build()?;
+                    let runtime =
+                        Builder::new_multi_thread().worker_threads(LAB_THREADS).enable_all().build()?;
                     let part = runtime.block_on(async {
                         if listed {
                             run.links(nodes, seed, &bar).await
@@ -141,8 +143,8 @@
     Ok(points)
 }
 
-/// A director and all it is linked with.
-struct Stage {
+/// A director process with the nodes and the roster it connects to.
+struct TestBed {
     world: World,
     daemon: Daemon,
     pid: u32,
@@ -158,8 +160,8 @@
     until: Instant,
 }
 
-/// Settings under which nothing is short but what is measured.
-fn ample(size: &Size, sessions: usize) -> String {
+/// Settings with ample capacity for all that is not measured.
+fn ample_settings(size: &Size, sessions: usize) -> String {
     let each = (sessions as f64 / f64::from(size.nodes) * 3.0).ceil().max(50.0);
     let shared = settings(size, "")
         .replace("{\"box-2c\": 26, \"box-3c\": 39}", &format!("{{\"box-2c\": {each}, \"box-3c\": {each}}}"))
@@ -173,13 +175,13 @@
     format!("{before}rack_uplink = {},{after}", each * 800.0 * f64::from(size.nodes))
 }
 
-impl Stage {
+impl TestBed {
     async fn start(
         program: &Path, nodes: u32, sessions: usize, listeners: usize, seed: u64,
-    ) -> Result<Stage> {
+    ) -> Result<TestBed> {
         let racks = (nodes.min(4)) as u16;
         let size = Size { nodes, racks, directors: 1, roster_lag: 0.0, seed, ..Size::default() };
-        let shared = ample(&size, sessions);
+        let shared = ample_settings(&size, sessions);
         let cells = nodes as u16;
         let titles = (0..sessions.div_ceil(listeners.max(1)).max(1))
             .map(|k| RosterTitle {
@@ -207,19 +209,19 @@
         let daemon = Daemon::start(program, &arguments, &log).await?;
         let pid = daemon.child.id().context("the director ended")?;
         let address = daemon.address.parse().with_context(|| daemon.address.clone())?;
-        Ok(Stage { world, daemon, pid, address, log, _dir: dir })
+        Ok(TestBed { world, daemon, pid, address, log, _dir: dir })
     }
 
-    /// Of the process while nothing is asked of it: of a core, and what it holds at the end.
-    async fn rest(&self, over: f64) -> Result<(f64, ProcessUsage)> {
+    /// Measures the idle process: cores used, and resources held at the end.
+    async fn measure_idle(&self, over: f64) -> Result<(f64, ProcessUsage)> {
         let (before, at) = (usage(self.pid)?, Instant::now());
         sleep(Duration::from_secs_f64(over)).await;
         let after = usage(self.pid)?;
         Ok(((after.core - before.core) / at.elapsed().as_secs_f64(), after))
     }
 
-    /// The last that the director's log says.
-    fn said(&self) -> String {
+    /// The last line of the director's log.
+    fn last_log_line(&self) -> String {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         log.lines().last().map_or("the director's log says nothing".into(), |l| format!("its log ends: {l}"))
     }
@@ -228,7 +230,7 @@
         let _ = self.daemon.child.kill().await;
     }
 
-    /// Bytes of the roster's whole list, as the director is told it.
+    /// Size in bytes of the complete list that the roster sends.
     async fn list_bytes(&self) -> Result<f64> {
         let mut stream = TcpStream::connect(self.world.roster_at).await?;
         let mut hello = serde_json::to_string(&ToRoster::Hello { director: 9999 })?;
@@ -242,31 +244,39 @@
 
 /// Viewers of one director.
 struct Viewers {
-    tally: Arc<Tally>,
-    pace: watch::Sender<f64>,
+    counters: Arc<ViewerCounters>,
+    rate: watch::Sender<f64>,
     tasks: JoinSet<()>,
 }
 
 impl Viewers {
     fn new() -> Viewers {
-        Viewers { tally: Arc::new(Tally::new()), pace: watch::channel(0.0).0, tasks: JoinSet::new() }
+        Viewers {
+            counters: Arc::new(ViewerCounters::new()),
+            rate: watch::channel(0.0).0,
+            tasks: JoinSet::new(),
+        }
     }
 
-    /// Has viewers come until so many sessions are held.
-    async fn come(&mut self, stage: &Stage, to: usize, listeners: usize, seed: u64) -> Result<()> {
-        let mut every = tokio::time::interval(Duration::from_secs_f64(1.0 / COMING));
+    /// Connects viewers until `to` sessions are held.
+    async fn connect(&mut self, test_bed: &TestBed, to: usize, listeners: usize, seed: u64) -> Result<()> {
+        let mut every = tokio::time::interval(Duration::from_secs_f64(1.0 / VIEWERS_PER_SECOND));
         let new = to.saturating_sub(self.tasks.len());
         for me in self.tasks.len()..to {
             every.tick().await;
-            let (tally, pace) = (self.tally.clone(), self.pace.subscribe());
+            let (counters, rate) = (self.counters.clone(), self.rate.subscribe());
             let title = format!("title-{}", me / listeners.max(1));
-            self.tasks.spawn(viewer(me, stage.address, title, tally, pace, seed));
+            self.tasks.spawn(viewer(me, test_bed.address, title, counters, rate, seed));
         }
-        let until = Instant::now() + Duration::from_secs_f64(PATIENCE + new as f64 / COMING);
-        while self.tally.held.load(Relaxed) < to as u64 {
+        let until = Instant::now() + Duration::from_secs_f64(SETUP_TIMEOUT + new as f64 / VIEWERS_PER_SECOND);
+        while self.counters.held.load(Relaxed) < to as u64 {
             if Instant::now() > until {
-                let held = self.tally.held.load(Relaxed);
-                bail!("{held} of {to} sessions came to play; {}; {}", self.tally.whys(), stage.said());
+                let held = self.counters.held.load(Relaxed);
+                bail!(
+                    "{held} of {to} sessions came to play; {}; {}",
+                    self.counters.failure_reasons(),
+                    test_bed.last_log_line()
+                );
             }
             sleep(Duration::from_millis(20)).await;
         }
@@ -275,11 +285,11 @@
 }
 
 impl Run {
-    fn over(&self) -> bool {
+    fn out_of_time(&self) -> bool {
         Instant::now() >= self.until
     }
 
-    /// Sessions held, from the fewest up, at one director, and messages at two of the sizes.
+    /// Measures sessions at one director, in ascending number, and messages at two of the sizes.
     async fn sessions(&self, seed: u64, bar: &ProgressBar) -> Points {
         let mut points = Points::default();
         if let Err(e) = self.sessions_into(seed, bar, &mut points).await {
@@ -290,73 +300,74 @@
 
     async fn sessions_into(&self, seed: u64, bar: &ProgressBar, to: &mut Points) -> Result<()> {
         let of = &self.of;
-        let room = max_descriptors()?.saturating_sub(2 * u64::from(of.nodes) + OWN) as usize;
-        let (mut held, over): (Vec<usize>, Vec<usize>) = of.held.iter().partition(|n| **n <= room);
+        let max_count =
+            max_descriptors()?.saturating_sub(2 * u64::from(of.nodes) + RESERVED_DESCRIPTORS) as usize;
+        let (mut held, over): (Vec<usize>, Vec<usize>) = of.held.iter().partition(|n| **n <= max_count);
         held.sort_unstable();
         for n in over {
-            to.partial.push(format!("{n} sessions, seed {seed}: descriptors for {room} at most"));
+            to.partial.push(format!("{n} sessions, seed {seed}: descriptors for {max_count} at most"));
         }
         let Some(&most) = held.last() else { return Ok(()) };
-        let stage = Stage::start(&self.program, of.nodes, most, of.listeners, seed).await?;
-        sleep(Duration::from_secs_f64(SETTLE)).await;
+        let test_bed = TestBed::start(&self.program, of.nodes, most, of.listeners, seed).await?;
+        sleep(Duration::from_secs_f64(SETTLE_SECONDS)).await;
         let mut viewers = Viewers::new();
         let at = format!("{} nodes, {} sessions a title, one process filled", of.nodes, of.listeners);
-        let (mut last, mut before) = (0, usage(stage.pid)?);
+        let (mut last, mut before) = (0, usage(test_bed.pid)?);
         for (k, &n) in held.iter().enumerate() {
-            if self.over() {
+            if self.out_of_time() {
                 to.partial.push(format!("{n} sessions and more, seed {seed}: no time was left"));
                 break;
             }
             let mut put = |what: &str, unit: &str, by: &str, at: &str, x: f64, y: f64| {
                 to.points.push(point([what, unit, by, at], x, y, seed));
             };
-            viewers.come(&stage, n, of.listeners, seed).await?;
-            let came = usage(stage.pid)?;
+            viewers.connect(&test_bed, n, of.listeners, seed).await?;
+            let came = usage(test_bed.pid)?;
             let x = n as f64;
             let begun = (came.core - before.core) / (n - last).max(1) as f64;
             put("time of a core for each session begun", "s", "sessions", &at, x, begun);
-            let (core, holds) = stage.rest(of.over).await?;
+            let (core, holds) = test_bed.measure_idle(of.over).await?;
             put("memory", "B", "sessions", &at, x, holds.memory);
             put("descriptors", "descriptors", "sessions", &at, x, holds.descriptors);
             put("processor time, no messages", "core", "sessions", &at, x, core);
             if k + 1 == held.len() || k + 3 == held.len() {
                 let at = format!("{n} sessions, {at}");
                 for &rate in &of.messages {
-                    if self.over() {
+                    if self.out_of_time() {
                         to.partial
                             .push(format!("{rate} messages a second at {n}, seed {seed}: no time was left"));
                         continue;
                     }
-                    if let Err(e) = self.messages(&stage, &viewers, rate, &at, seed, to).await {
+                    if let Err(e) = self.messages(&test_bed, &viewers, rate, &at, seed, to).await {
                         to.partial.push(format!("{rate} messages a second at {n}, seed {seed}: {e:#}"));
                     }
                 }
-                viewers.pace.send_replace(0.0);
+                viewers.rate.send_replace(0.0);
             }
-            (last, before) = (n, usage(stage.pid)?);
+            (last, before) = (n, usage(test_bed.pid)?);
             bar.inc(1);
         }
-        stage.end().await;
+        test_bed.end().await;
         Ok(())
     }
 
     async fn messages(
-        &self, stage: &Stage, viewers: &Viewers, rate: f64, at: &str, seed: u64, to: &mut Points,
+        &self, test_bed: &TestBed, viewers: &Viewers, rate: f64, at: &str, seed: u64, to: &mut Points,
     ) -> Result<()> {
-        let tally = &viewers.tally;
-        viewers.pace.send_replace(rate / viewers.tasks.len().max(1) as f64);
-        // Until the pace before has run out, and this one runs evenly.
+        let counters = &viewers.counters;
+        viewers.rate.send_replace(rate / viewers.tasks.len().max(1) as f64);
+        // Lets the previous rate end and the new one settle.
         sleep(Duration::from_secs(1)).await;
-        let (core, bytes, began) = (usage(stage.pid)?.core, tally.bytes(), Instant::now());
-        tally.begin()?;
+        let (core, bytes, began) = (usage(test_bed.pid)?.core, counters.bytes(), Instant::now());
+        counters.begin()?;
         sleep(Duration::from_secs_f64(self.of.over)).await;
-        let seen = tally.end().context("nothing was counted")?;
+        let seen = counters.end().context("nothing was counted")?;
         let lasted = began.elapsed().as_secs_f64();
-        let (core, all) = (usage(stage.pid)?.core - core, tally.bytes());
+        let (core, all) = (usage(test_bed.pid)?.core - core, counters.bytes());
         let came = seen.times.len() as f64 / lasted;
         to.points.push(point(["messages that came", "1/s", "messages/s", at], rate, came, seed));
         ensure!(
-            came >= REACHED * rate,
+            came >= MIN_MESSAGE_FRACTION * rate,
             "{came:.0} a second came, {} pings were held back behind eight without an answer",
             seen.held_back
         );
@@ -373,7 +384,7 @@
         Ok(())
     }
 
-    /// Listed nodes, each with its link, and no session.
+    /// Measures listed nodes, each with a link, without sessions.
     async fn links(&self, nodes: u32, seed: u64, bar: &ProgressBar) -> Points {
         let mut points = Points::default();
         if let Err(e) = self.links_into(nodes, seed, &mut points).await {
@@ -384,33 +395,33 @@
     }
 
     async fn links_into(&self, nodes: u32, seed: u64, to: &mut Points) -> Result<()> {
-        let room = max_descriptors()?.saturating_sub(OWN) / 2;
-        ensure!(u64::from(nodes) <= room, "descriptors for {room} at most");
-        let stage = Stage::start(&self.program, nodes, 1, 1, seed).await?;
+        let max_count = max_descriptors()?.saturating_sub(RESERVED_DESCRIPTORS) / 2;
+        ensure!(u64::from(nodes) <= max_count, "descriptors for {max_count} at most");
+        let test_bed = TestBed::start(&self.program, nodes, 1, 1, seed).await?;
         let (at, began) = ("no sessions, a link to each", Instant::now());
-        let until = began + Duration::from_secs_f64(PATIENCE);
-        while stage.world.nodes.linked() < nodes as usize {
+        let until = began + Duration::from_secs_f64(SETUP_TIMEOUT);
+        while test_bed.world.nodes.linked() < nodes as usize {
             if Instant::now() > until {
-                bail!("{} links after {PATIENCE} s", stage.world.nodes.linked());
+                bail!("{} links after {SETUP_TIMEOUT} s", test_bed.world.nodes.linked());
             }
             sleep(Duration::from_millis(10)).await;
         }
         let linked = began.elapsed().as_secs_f64();
-        let dialled = usage(stage.pid)?.core;
-        // What starting left to do is done by then.
-        sleep(Duration::from_secs_f64(self.of.over.min(SETTLE))).await;
-        let (core, holds) = stage.rest(self.of.over).await?;
-        let list = stage.list_bytes().await?;
+        let connect_core_time = usage(test_bed.pid)?.core;
+        // Lets the work of the start finish.
+        sleep(Duration::from_secs_f64(self.of.over.min(SETTLE_SECONDS))).await;
+        let (core, holds) = test_bed.measure_idle(self.of.over).await?;
+        let list = test_bed.list_bytes().await?;
         let mut put = |what: &str, unit: &str, y: f64| {
             to.points.push(point([what, unit, "nodes", at], f64::from(nodes), y, seed));
         };
         put("memory", "B", holds.memory);
         put("descriptors", "descriptors", holds.descriptors);
         put("processor time, idle links", "core", core);
-        put("time of a core from its start until all links stand", "s", dialled);
+        put("time of a core from its start until all links stand", "s", connect_core_time);
         put("time until all links stand", "s", linked);
         put("roster's list", "B", list);
-        stage.end().await;
+        test_bed.end().await;
         Ok(())
     }
 }
--- a/crates/kelpdoor-lab/src/scale/voters.rs
+++ b/crates/kelpdoor-lab/src/scale/voters.rs
@@ -1,5 +1,5 @@
-//! Real voters under hollow directors: what a voter needs by the number of directors, steady and when all come back after
-//! its restart, and what a director costs on the wire.
+//! Real voters under hollow directors: the resources of a voter by the number of directors, in the steady state and when
+//! all directors reconnect after its restart, and the bytes of a director on the wire.
 
 use std::io::IsTerminal;
 use std::net::SocketAddr;
@@ -25,47 +25,47 @@
 use crate::daemon::Daemon;
 
 pub const FLEET: &str = "scale";
-/// Directors of a process at most: a thread of a shared machine keeps up with twice as many at 20 questions a second each.
-const SHARE: usize = 750;
-/// Descriptors of a process that are not directors' connections: its own, and those of other voters.
-const SPARE: usize = 500;
-/// Connections a second that directors of a process make at their start.
-const START: f64 = 4000.0;
-/// s; all have a lease by then, or a limit is met.
-const COME: f64 = 15.0;
-/// s; between a start or a mark and what is measured.
-const SETTLE: f64 = 2.0;
-/// s; all are answered again by then after a voter's restart, or it is told how many are.
-const BACK: f64 = 15.0;
-/// An answer of a process or a voter comes within this.
-const ANSWER: Duration = Duration::from_secs(10);
-/// Times that addresses are looked for: one that was free may be taken a moment later.
-const TRIES: u32 = 5;
-/// What is left out.
+/// Most directors of a process; one thread of a shared machine keeps up with twice as many at 20 requests a second each.
+const MAX_DIRECTORS_PER_PROCESS: usize = 750;
+/// Descriptors of a process reserved for its own files and the connections of other voters.
+const RESERVED_DESCRIPTORS: usize = 500;
+/// Connections per second that the directors of a process open at their start.
+const CONNECTIONS_PER_SECOND: f64 = 4000.0;
+/// Seconds within which all directors have to obtain a lease; otherwise the size counts as over a limit.
+const START_TIMEOUT: f64 = 15.0;
+/// Seconds between the start and the measurement.
+const SETTLE_SECONDS: f64 = 2.0;
+/// Seconds to wait for all directors to be answered after a voter's restart.
+const RECONNECT_TIMEOUT: f64 = 15.0;
+/// Timeout for a response of a process or a voter.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Attempts to find free addresses; one that was free may be taken before the voter binds it.
+const MAX_START_ATTEMPTS: u32 = 5;
+/// What hollow directors leave out; stored with the points.
 pub const HOLLOW: &str =
     "hollow directors: the real follower and words, no desk, a document's first line read";
 
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// Voters.
+    /// Numbers of voters.
     #[arg(long, value_delimiter = ',', default_values_t = [3, 5])]
     pub voters: Vec<usize>,
-    /// s; longest contradictions that the document states; all but the first under the most voters alone.
+    /// Longest contradictions that the document states, in seconds; all but the first only with the largest number of voters.
     #[arg(long, value_delimiter = ',', default_values_t = [2.0, 10.0])]
     pub contradictions: Vec<f64>,
-    /// s measured; cut into as many windows as there are seeds, so that their spread is seen.
+    /// Measured time in seconds, split into one window for each seed to show the variation.
     #[arg(long, default_value_t = 12.0)]
     pub span: f64,
-    /// Bytes of the document, about.
+    /// Approximate size of the document in bytes.
     #[arg(long, default_value_t = 2000)]
     pub document: usize,
-    /// s; cut off after that, too.
+    /// Time limit of this measurement in seconds, in addition to that of all measurements.
     #[arg(long, default_value_t = 330.0)]
     pub most: f64,
-    /// The points alone are written there, as JSON.
+    /// File to write the points to, as JSON.
     #[arg(long)]
     pub points: Option<PathBuf>,
-    /// What is run as voter and as hollow directors; this program where absent.
+    /// Program to run as voters and as hollow directors; this program by default.
     #[arg(long, hide = true)]
     pub program: Option<PathBuf>,
 }
@@ -84,32 +84,37 @@
     }
 }
 
+/// Measures voters at each fleet size.
+///
 /// # Errors
-/// What could not be measured.
-pub async fn measure(all: &Scale, of: &Options) -> Result<Points> {
-    ensure!(of.voters.iter().all(|v| matches!(v, 3 | 5)), "--voters: 3 or 5");
-    ensure!(of.contradictions.iter().all(|c| (0.5..=60.0).contains(c)), "--contradictions: 0.5 to 60 s");
-    ensure!((0.5..=3600.0).contains(&of.span), "--span: 0.5 s to an hour");
-    ensure!(of.document <= 250_000, "--document: 250,000 bytes at most");
-    let until = Instant::now() + Duration::from_secs_f64(all.within.min(of.most).clamp(0.0, 1e6));
-    let program = of.program.clone().map_or_else(std::env::current_exe, Ok)?;
-    let most = of.voters.iter().copied().max();
+/// An option is out of range, a process fails, or the points cannot be written.
+pub async fn measure(all: &Scale, options: &Options) -> Result<Points> {
+    ensure!(options.voters.iter().all(|v| matches!(v, 3 | 5)), "--voters: 3 or 5");
+    ensure!(options.contradictions.iter().all(|c| (0.5..=60.0).contains(c)), "--contradictions: 0.5 to 60 s");
+    ensure!((0.5..=3600.0).contains(&options.span), "--span: 0.5 s to an hour");
+    ensure!(options.document <= 250_000, "--document: 250,000 bytes at most");
+    let until = Instant::now() + Duration::from_secs_f64(all.within.min(options.most).clamp(0.0, 1e6));
+    let program = options.program.clone().map_or_else(std::env::current_exe, Ok)?;
+    let most = options.voters.iter().copied().max();
     let mut cells = Vec::new();
-    for (k, &contradiction) in of.contradictions.iter().enumerate() {
-        for &voters in of.voters.iter().filter(|v| k == 0 || Some(**v) == most) {
+    for (k, &contradiction) in options.contradictions.iter().enumerate() {
+        for &voters in options.voters.iter().filter(|v| k == 0 || Some(**v) == most) {
             cells.extend(all.sizes.iter().map(|&directors| Cell { voters, directors, contradiction }));
         }
     }
-    let bar = bar(cells.len() as u64, "fleets of voters");
+    let bar = progress_bar(cells.len() as u64, "fleets of voters");
     let mut points = Points::default();
     for cell in cells {
         let left = until.saturating_duration_since(Instant::now()).as_secs_f64();
-        if left < of.span + 2.0 * SETTLE {
+        if left < options.span + 2.0 * SETTLE_SECONDS {
             points.partial.push(format!("voters not measured, no time was left: {cell:?}"));
             continue;
         }
-        match timeout(Duration::from_secs_f64(left + ANSWER.as_secs_f64()), cell.measure(all, of, &program))
-            .await
+        match timeout(
+            Duration::from_secs_f64(left + RESPONSE_TIMEOUT.as_secs_f64()),
+            cell.measure(all, options, &program),
+        )
+        .await
         {
             Ok(done) => points.merge(done.with_context(|| format!("{cell:?}"))?),
             Err(_) => points.partial.push(format!("voters cut short by time: {cell:?}")),
@@ -117,7 +122,7 @@
         bar.inc(1);
     }
     bar.finish_and_clear();
-    write(of.points.as_deref(), &points)?;
+    write(options.points.as_deref(), &points)?;
     Ok(points)
 }
 
@@ -143,10 +148,10 @@
         }
     }
 
-    async fn measure(&self, all: &Scale, of: &Options, program: &Path) -> Result<Points> {
+    async fn measure(&self, all: &Scale, options: &Options, program: &Path) -> Result<Points> {
         let mut points = Points::default();
         let limit = max_descriptors()? as usize;
-        if self.directors + SPARE > limit {
+        if self.directors + RESERVED_DESCRIPTORS > limit {
             let why =
                 format!("{self:?} not measured: a voter would hold more than {limit} descriptors, the limit");
             points.partial.push(why);
@@ -154,32 +159,34 @@
         }
         let loaded = load_average()?;
         let mut voters = Voters::start(program, self.voters).await?;
-        voters.agree_first(of.document, self.contradiction).await?;
-        let share = SHARE.min((limit - SPARE) / self.voters);
+        voters.agree_first(options.document, self.contradiction).await?;
+        let share = MAX_DIRECTORS_PER_PROCESS.min((limit - RESERVED_DESCRIPTORS) / self.voters);
         let mut hollows = HollowProcesses::start(program, &voters.at, self.directors, share).await?;
-        let came = hollows.until(COME, |s| s.begin == s.directors).await?;
-        if came.begin < came.directors {
-            points
-                .partial
-                .push(format!("{self:?} not taken into the figures, a limit is met: {}", why(&came)));
+        let started = hollows.until(START_TIMEOUT, |s| s.begin == s.directors).await?;
+        if started.begin < started.directors {
+            points.partial.push(format!(
+                "{self:?} not taken into the figures, a limit is met: {}",
+                describe_missing(&started)
+            ));
             return Ok(points);
         }
-        sleep(Duration::from_secs_f64(SETTLE)).await;
+        sleep(Duration::from_secs_f64(SETTLE_SECONDS)).await;
         points.points.push(self.point("machine", "load before", "processes", loaded, 0, "steady"));
-        self.steady(all, of, &voters, &mut hollows, &mut points).await?;
+        self.steady(all, options, &voters, &mut hollows, &mut points).await?;
         self.restart(&mut voters, &mut hollows, &mut points).await?;
         Ok(points)
     }
 
     async fn steady(
-        &self, all: &Scale, of: &Options, voters: &Voters, hollows: &mut HollowProcesses, points: &mut Points,
+        &self, all: &Scale, options: &Options, voters: &Voters, hollows: &mut HollowProcesses,
+        points: &mut Points,
     ) -> Result<()> {
         let windows = all.seeds.max(1);
         for window in 1..=windows {
             hollows.ask("mark").await?;
             let before = voters.usage()?;
             let hollow_before = hollows.usage()?;
-            sleep(Duration::from_secs_f64(of.span / windows as f64)).await;
+            sleep(Duration::from_secs_f64(options.span / windows as f64)).await;
             let (after, hollow_after) = (voters.usage()?, hollows.usage()?);
             let seen = hollows.ask("look").await?;
             let mut put = |role: &str, what: &str, unit: &str, y: f64| {
@@ -196,14 +203,14 @@
             put("voter", "questions", "1/s", mean(&|v| v.asked));
             put("voter", "bytes in", "B/s", mean(&|v| v.bytes.0));
             put("voter", "bytes out", "B/s", mean(&|v| v.bytes.1));
-            let answers = merged(seen.voters.iter().flat_map(|v| &v.answers));
+            let answers = merge_histograms(seen.voters.iter().flat_map(|v| &v.answers));
             for (name, q) in [("p50", 0.5), ("p99", 0.99), ("most", 1.0)] {
                 put("voter", &format!("answer, {name}"), "s", answers.value_at_quantile(q) as f64 / 1e6);
             }
             put("director", "control bytes", "B/s", mean(&|v| v.bytes.0 + v.bytes.1) * n / d);
             put("director", "control messages", "1/s", mean(&|v| v.words.0 + v.words.1) * n / d);
             let spent = core(&hollow_after) - core(&hollow_before);
-            // Of all together: what each adds is the slope, without what a process needs of itself.
+            // Sums over all directors, so that the slope is the cost of each one without that of the process.
             put("directors", "processor time of followers and lines", "core", spent / s);
             put("directors", "memory of followers and lines", "B", memory(&hollow_after));
             put("fleet", "directors that may begin", "of 1", seen.begin as f64 / d);
@@ -215,22 +222,22 @@
         Ok(())
     }
 
-    /// One voter is killed and started again at once: all its directors come back together.
+    /// Kills one voter and restarts it at once, so that all directors reconnect together.
     async fn restart(
         &self, voters: &mut Voters, hollows: &mut HollowProcesses, points: &mut Points,
     ) -> Result<()> {
         voters.kill(0).await?;
-        // What it had said before is read by then.
+        // Responses from before the kill are read by then.
         sleep(Duration::from_millis(100)).await;
         hollows.ask("mark").await?;
         let began = Instant::now();
-        voters.again(0).await?;
+        voters.restart(0).await?;
         let listens = began.elapsed().as_secs_f64();
         let mut least = self.directors;
         let answered =
             |s: &HollowStats| s.voters.first().map_or(0, |v| v.firsts.iter().map(|f| f.1).sum::<u64>());
         let seen = hollows
-            .until(BACK, |s| {
+            .until(RECONNECT_TIMEOUT, |s| {
                 least = least.min(s.begin);
                 answered(s) >= s.directors as u64
             })
@@ -239,16 +246,16 @@
         let back = answered(&seen);
         if back < self.directors as u64 {
             points.partial.push(format!(
-                "{self:?}: after a voter's restart {back} directors were answered within {BACK} s: {}",
-                why(&seen)
+                "{self:?}: after a voter's restart {back} directors were answered within {RECONNECT_TIMEOUT} s: {}",
+                describe_missing(&seen)
             ));
         }
-        let firsts = merged(seen.voters.first().iter().flat_map(|v| &v.firsts));
+        let firsts = merge_histograms(seen.voters.first().iter().flat_map(|v| &v.firsts));
         let mut put = |role: &str, what: &str, unit: &str, y: f64| {
             points.points.push(self.point(role, what, unit, y, 1, "a voter restarted"));
         };
         for (name, q) in [("half", 0.5), ("99 in 100", 0.99), ("all", 1.0)] {
-            // From when it listens; its directors try again from time to time.
+            // Counted from the time the voter listens; directors retry with a delay.
             let after = (firsts.value_at_quantile(q) as f64 / 1e6 - listens).max(0.0);
             if q < 1.0 || back == self.directors as u64 {
                 put("voter", &format!("answered again, {name}"), "s", after);
@@ -260,14 +267,14 @@
     }
 }
 
-fn merged<'a>(all: impl Iterator<Item = &'a (u64, u64)>) -> hdrhistogram::Histogram<u64> {
+fn merge_histograms<'a>(all: impl Iterator<Item = &'a (u64, u64)>) -> hdrhistogram::Histogram<u64> {
     let mut sum = latency_histogram();
     all.for_each(|(value, count)| sum.saturating_record_n(*value, *count));
     sum
 }
 
-/// Why not all may begin, as far as it is seen.
-fn why(of: &HollowStats) -> String {
+/// Describes why not all directors may begin sessions.
+fn describe_missing(of: &HollowStats) -> String {
     let lines: Vec<String> = of.voters.iter().map(|v| v.connected.to_string()).collect();
     let ended: u64 = of.voters.iter().map(|v| v.ended).sum();
     format!(
@@ -280,7 +287,7 @@
     )
 }
 
-/// Voters as processes of their own.
+/// Voters, each in its own process.
 pub struct Voters {
     program: PathBuf,
     dir: TempDir,
@@ -289,13 +296,13 @@
 }
 
 impl Voters {
-    /// Founds a fleet of them.
+    /// Starts voters that found a fleet.
     ///
     /// # Errors
-    /// Where they do not start.
+    /// They do not start.
     pub async fn start(program: &Path, n: usize) -> Result<Voters> {
         let mut last = None;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_START_ATTEMPTS {
             match Voters::found(program, n).await {
                 Ok(voters) => return Ok(voters),
                 Err(e) => last = Some(e),
@@ -305,12 +312,12 @@
     }
 
     async fn found(program: &Path, n: usize) -> Result<Voters> {
-        let mut held = Vec::new();
+        let mut listeners = Vec::new();
         for _ in 0..n {
-            held.push(TcpListener::bind("127.0.0.1:0").await?);
+            listeners.push(TcpListener::bind("127.0.0.1:0").await?);
         }
-        let at = held.iter().map(TcpListener::local_addr).collect::<std::io::Result<Vec<_>>>()?;
-        drop(held);
+        let at = listeners.iter().map(TcpListener::local_addr).collect::<std::io::Result<Vec<_>>>()?;
+        drop(listeners);
         let (program, dir) = (program.to_owned(), tempfile::tempdir()?);
         let mut voters = Voters { program, dir, at, running: (0..n).map(|_| None).collect() };
         for v in 0..n {
@@ -343,14 +350,18 @@
         Ok(())
     }
 
+    /// Restarts voter `v`.
+    ///
     /// # Errors
-    /// Where it does not start.
-    pub async fn again(&mut self, v: usize) -> Result<()> {
+    /// The voter does not start.
+    pub async fn restart(&mut self, v: usize) -> Result<()> {
         self.run(v, false).await
     }
 
+    /// Kills voter `v`.
+    ///
     /// # Errors
-    /// Where it does not end.
+    /// The voter does not end.
     pub async fn kill(&mut self, v: usize) -> Result<()> {
         match self.running[v].take() {
             Some(mut daemon) => Ok(daemon.child.kill().await?),
@@ -358,16 +369,16 @@
         }
     }
 
-    /// What each uses, the ended left out.
+    /// Resource usage of each running voter.
     ///
     /// # Errors
-    /// Where one has ended by itself.
+    /// A voter has exited by itself.
     pub fn usage(&self) -> Result<Vec<ProcessUsage>> {
         let ids = self.running.iter().flatten().map(|d| d.child.id());
         ids.map(|id| usage(id.context("a voter has ended")?)).collect()
     }
 
-    /// A document as real voters read it, of that size, about; changes differ in a key that is not switched.
+    /// A valid document of about `bytes` bytes; changes differ in a key that is not switched.
     pub fn document(&self, bytes: usize, contradiction: f64, change: u64) -> String {
         let head = follower::document_header(contradiction, self.at.len());
         let base = format!(
@@ -386,18 +397,18 @@
         format!("{head}{base}{pad}# change {change}\n")
     }
 
-    /// Has the first version agreed.
+    /// Proposes the first version and waits until it is agreed.
     ///
     /// # Errors
-    /// Where it is refused, or not agreed in time.
+    /// The version is refused, or not agreed in time.
     pub async fn agree_first(&self, bytes: usize, contradiction: f64) -> Result<()> {
         let text = self.document(bytes, contradiction, 0);
-        let until = Instant::now() + ANSWER;
+        let until = Instant::now() + RESPONSE_TIMEOUT;
         let mut operator = Operator::to(self.at[0]).await?;
         loop {
             match operator.propose(0, fastrand::u64(..), &text).await? {
                 VoterResponse::Agreed { .. } => return Ok(()),
-                // The voters have not found each other yet.
+                // The voters are not connected to each other yet.
                 VoterResponse::NotTaken { .. } | VoterResponse::Unknown { .. } if Instant::now() < until => {
                     sleep(Duration::from_millis(50)).await;
                 }
@@ -407,12 +418,14 @@
     }
 }
 
-/// Who proposes, at one voter.
+/// Connection of an operator to one voter.
 pub struct Operator(BufReader<TcpStream>);
 
 impl Operator {
+    /// Connects to a voter.
+    ///
     /// # Errors
-    /// Where no voter is there.
+    /// No voter answers at the address.
     pub async fn to(at: SocketAddr) -> Result<Operator> {
         let mut operator = Operator(BufReader::new(TcpStream::connect(at).await?));
         match operator.ask(&ClientRequest::Hello { fleet: FLEET.to_owned() }).await? {
@@ -421,20 +434,22 @@
         }
     }
 
-    async fn ask(&mut self, ask: &ClientRequest) -> Result<VoterResponse> {
-        let mut text = serde_json::to_vec(ask)?;
+    async fn ask(&mut self, request: &ClientRequest) -> Result<VoterResponse> {
+        let mut text = serde_json::to_vec(request)?;
         text.push(b'\n');
         let mut line = String::new();
         let said = async {
             self.0.get_mut().write_all(&text).await?;
             self.0.read_line(&mut line).await
         };
-        timeout(ANSWER, said).await.context("a voter does not answer")??;
+        timeout(RESPONSE_TIMEOUT, said).await.context("a voter does not answer")??;
         Ok(serde_json::from_str(&line)?)
     }
 
+    /// Proposes a document as the successor of version `after`.
+    ///
     /// # Errors
-    /// Where the voter does not answer.
+    /// The voter does not answer.
     pub async fn propose(&mut self, after: u64, id: u64, text: &str) -> Result<VoterResponse> {
         let value = Value { id, text: text.to_owned() };
         self.ask(&ClientRequest::Propose { after, value, sure: false }).await
@@ -451,7 +466,7 @@
         let mut all = Vec::new();
         for first in (0..directors).step_by(share) {
             let n = share.min(directors - first);
-            let within = (n * voters.len()) as f64 / START;
+            let within = (n * voters.len()) as f64 / CONNECTIONS_PER_SECOND;
             let spec = HollowSpec {
                 fleet: FLEET.to_owned(),
                 voters: voters.to_vec(),
@@ -474,26 +489,27 @@
         Ok(HollowProcesses(all))
     }
 
-    /// `look`, or `mark` to count anew after it.
-    async fn ask(&mut self, wish: &str) -> Result<HollowStats> {
+    /// Sends a command to all processes: `look`, or `mark` to reset the counters after reading them.
+    async fn ask(&mut self, command: &str) -> Result<HollowStats> {
         for (_, input, _) in &mut self.0 {
-            input.write_all(format!("{wish}\n").as_bytes()).await?;
+            input.write_all(format!("{command}\n").as_bytes()).await?;
         }
         let mut all = Vec::new();
         for (_, _, output) in &mut self.0 {
-            let line =
-                timeout(ANSWER, output.next_line()).await.context("hollow directors do not answer")??;
+            let line = timeout(RESPONSE_TIMEOUT, output.next_line())
+                .await
+                .context("hollow directors do not answer")??;
             all.push(serde_json::from_str(&line.context("hollow directors have ended")?)?);
         }
         Ok(merge_stats(&all))
     }
 
-    /// Looks until it is so, or for so many seconds; what was seen last.
-    async fn until(&mut self, most: f64, mut so: impl FnMut(&HollowStats) -> bool) -> Result<HollowStats> {
+    /// Polls the counters until a condition holds or `most` seconds have passed; returns the last counters.
+    async fn until(&mut self, most: f64, mut done: impl FnMut(&HollowStats) -> bool) -> Result<HollowStats> {
         let until = Instant::now() + Duration::from_secs_f64(most);
         loop {
             let seen = self.ask("look").await?;
-            if so(&seen) || Instant::now() >= until {
+            if done(&seen) || Instant::now() >= until {
                 return Ok(seen);
             }
             sleep(Duration::from_millis(100)).await;
@@ -505,18 +521,18 @@
     }
 }
 
-/// A bar for whoever watches.
-pub fn bar(of: u64, what: &'static str) -> ProgressBar {
+/// A progress bar, hidden if standard error is no terminal.
+pub fn progress_bar(of: u64, what: &'static str) -> ProgressBar {
     let bar = if std::io::stderr().is_terminal() { ProgressBar::new(of) } else { ProgressBar::hidden() };
     let style = ProgressStyle::with_template("{elapsed} {bar:40} {pos} of {len} {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar.with_message(what)
 }
 
-/// Writes points to that file, if any.
+/// Writes the points to a file as JSON, if a path is given.
 ///
 /// # Errors
-/// Where it cannot be written.
+/// The file cannot be written.
 pub fn write(to: Option<&Path>, of: &Points) -> Result<()> {
     match to {
         Some(path) => {
