--- a/crates/kelpdoor-lab/tests/plan.rs
+++ b/crates/kelpdoor-lab/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Lines with their intervals, targets and their faults, and that page, measurements and target go together.
+//! Fits with their intervals, errors of target files, and the consistency of the page with measurements and target.
 
 use std::path::PathBuf;
 
@@ -16,7 +16,7 @@
     FleetTarget::read(&root().join("deploy/targets/fleet-5800.star")).expect("the target")
 }
 
-/// Anscombe's quartet (1973): the same line through four very different clouds.
+/// From Anscombe's quartet (1973): the same fit for very different sets of points.
 const ANSCOMBE_X: [f64; 11] = [10.0, 8.0, 13.0, 9.0, 11.0, 14.0, 6.0, 4.0, 12.0, 7.0, 5.0];
 const ANSCOMBE_1: [f64; 11] = [8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68];
 const ANSCOMBE_2: [f64; 11] = [9.14, 8.14, 8.74, 8.77, 9.26, 8.10, 6.13, 3.10, 9.13, 7.26, 4.74];
@@ -26,27 +26,27 @@
     LinearFit::fit(&points).expect("a line")
 }
 
-fn near(a: f64, b: f64) {
+fn assert_near(a: f64, b: f64) {
     assert!((a - b).abs() < 1e-3 * b.abs().max(1.0), "{a} is not {b}");
 }
 
 #[test]
-fn a_known_line_has_its_known_interval() {
+fn fit_of_known_points_has_the_known_interval() {
     let of = line(&ANSCOMBE_X, &ANSCOMBE_1);
-    near(of.a, 3.0001);
-    near(of.b, 0.5001);
-    near(of.residual, 1.2366);
+    assert_near(of.a, 3.0001);
+    assert_near(of.b, 0.5001);
+    assert_near(of.residual, 1.2366);
     let (low, high) = of.b_within.expect("an interval");
-    near(low, 0.2334);
-    near(high, 0.7668);
+    assert_near(low, 0.2334);
+    assert_near(high, 0.7668);
     let (low, high) = of.a_within.expect("an interval");
-    near(low, 0.4557);
-    near(high, 5.5444);
+    assert_near(low, 0.4557);
+    assert_near(high, 5.5444);
     assert_eq!((of.sizes, of.seeds, of.bends, of.too_few), (11, 1, None, false));
 }
 
 #[test]
-fn a_line_that_bends_says_so_and_noise_does_not() {
+fn bent_series_is_detected_and_noise_is_not() {
     let of = line(&ANSCOMBE_X, &ANSCOMBE_2);
     assert_eq!(of.bends.as_deref(), Some("downwards with size"));
     let xs: Vec<f64> = (1..=8).map(f64::from).collect();
@@ -56,7 +56,7 @@
     assert!(line(&xs, &knee).bends.is_some());
     let straight: Vec<f64> = xs.iter().map(|x| 3.0 + 2.0 * x).collect();
     assert_eq!(line(&xs, &straight).bends, None);
-    // Of many straight lines with noise about one in ten is called bent: one in twenty by each of two looks.
+    // About one in ten straight lines with noise is reported as bent: one in twenty by each of the two checks.
     let mut rng = fastrand::Rng::with_seed(7);
     let bent = (0..400).filter(|_| {
         let noisy: Vec<f64> = xs.iter().map(|x| 3.0 + 2.0 * x + rng.f64() - 0.5).collect();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn few_sizes_make_no_bend_and_one_makes_no_line() {
+fn too_few_sizes_report_no_bend_and_one_size_has_no_fit() {
     let of = line(&[1.0, 2.0, 3.0], &[1.0, 4.0, 9.0]);
     assert!(of.too_few && of.bends.is_none());
     assert_eq!(line(&[1.0, 2.0], &[1.0, 4.0]).b_within, None);
@@ -80,7 +80,7 @@
     Point { role, what, unit, by, x, y, seed, at, hollow: String::new() }
 }
 
-fn some() -> Points {
+fn sample_points() -> Points {
     let mut points = Vec::new();
     for (k, x) in [300.0, 1000.0, 3000.0, 5800.0].into_iter().enumerate() {
         for seed in 1..=2 {
@@ -124,19 +124,19 @@
     Points { points, partial: vec!["voters at 9000: no memory was left".into()] }
 }
 
-fn book() -> CapacityData {
+fn data() -> CapacityData {
     let machine = Machine { cores: 8, memory: 24e9, processor: "a processor".into(), descriptors: 20_000 };
     CapacityData {
         machine,
         date: "2026-12-01".into(),
-        series: fit::series(&some().points, "2026-12-01", "a run"),
-        ..CapacityData::new(&some(), "")
+        series: fit::series(&sample_points().points, "2026-12-01", "a run"),
+        ..CapacityData::new(&sample_points(), "")
     }
 }
 
 #[test]
-fn a_fleet_is_worked_out_from_series() {
-    let all = sections(&target(), &book());
+fn page_sections_follow_from_the_series() {
+    let all = sections(&target(), &data());
     let of = |name: &str| all.iter().find(|p| p.0 == name).map(|p| p.1.clone()).expect("a part");
     let lines = |text: &str, with: &str| {
         text.lines().filter(|l| l.contains(with)).map(str::to_owned).collect::<Vec<_>>().join("\n")
@@ -174,10 +174,10 @@
 }
 
 #[test]
-fn a_later_run_stands_for_the_earlier_of_the_same_name() {
+fn later_run_replaces_series_of_the_same_name() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("capacity.json");
-    fit::write(&file, &some(), "first").expect("written");
+    fit::write(&file, &sample_points(), "first").expect("written");
     let first = CapacityData::read(&file).expect("read");
     let later = Points {
         points: vec![point(["director", "memory", "B", "sessions", ""], 10.0, 7.0, 1)],
@@ -192,29 +192,29 @@
 }
 
 #[test]
-fn page_measurements_and_target_go_together() {
+fn stored_page_matches_measurements_and_target() {
     let page = std::fs::read_to_string(root().join("docs/CAPACITY.md")).expect("the page");
-    let book = CapacityData::read(&root().join("docs/capacity.json")).expect("what was measured");
-    for s in &book.series {
+    let data = CapacityData::read(&root().join("docs/capacity.json")).expect("what was measured");
+    for s in &data.series {
         assert_eq!(s.line.is_some(), LinearFit::fit(&s.points).is_some(), "{} {}", s.role, s.what);
-        if let (Some(kept), Some(anew)) = (&s.line, LinearFit::fit(&s.points)) {
+        if let (Some(stored), Some(computed)) = (&s.line, LinearFit::fit(&s.points)) {
             assert!(
-                (kept.b - anew.b).abs() <= 1e-9 * anew.b.abs(),
+                (stored.b - computed.b).abs() <= 1e-9 * computed.b.abs(),
                 "{} {}: its line is of other points",
                 s.role,
                 s.what
             );
         }
     }
-    let anew = replace_sections(&page, &sections(&target(), &book)).expect("the page has its places");
+    let computed = replace_sections(&page, &sections(&target(), &data)).expect("the page has its places");
     assert!(
-        page == anew,
+        page == computed,
         "the page is of another target or measurement: kelpdoor-lab scale plan --page makes it anew"
     );
 }
 
 #[test]
-fn a_page_keeps_its_prose_and_a_bad_one_is_refused() {
+fn page_keeps_its_prose_and_bad_markers_are_refused() {
     let of = [("one", "1\n".to_owned()), ("two", "2".to_owned())];
     let mark = |name: &str| format!("<!-- worked out by kelpdoor-lab scale plan: {name} -->");
     let page =
@@ -260,7 +260,7 @@
 ";
 
 #[test]
-fn a_good_target_reads_and_other_words_take_their_defaults() {
+fn valid_target_is_read_with_defaults() {
     let target = FleetTarget::parse("t.star", GOOD).expect("good");
     assert_eq!(
         (target.sessions_per_director(), target.assume.voters, target.assume.setups_a_second),
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn the_command_refuses_what_it_cannot_read() {
+fn unreadable_files_are_refused_and_the_page_is_kept() {
     let dir = tempfile::tempdir().expect("a folder");
     let (target, measured) = (dir.path().join("t.star"), dir.path().join("m.json"));
     std::fs::write(&target, GOOD).expect("written");
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn seeds_on_both_sides_of_a_bound_are_told() {
+fn seeds_on_both_sides_of_a_bound_are_reported() {
     let named = ["director", "time of a delivery, p99 of both ways", "s", "messages/s", ""];
     let figures = [(1000.0, [0.01, 0.02, 0.015]), (5000.0, [0.02, 1.5, 0.05]), (9000.0, [0.5, 0.6, 0.1])];
     let points = figures.iter().flat_map(|(x, ys)| ys.iter().zip(1..).map(|(y, k)| point(named, *x, *y, k)));
@@ -377,7 +377,7 @@
     assert_eq!(series[0].medians(), [(1000.0, 0.015), (5000.0, 0.05), (9000.0, 0.5)]);
     assert_eq!(series[0].range(5000.0), (0.02, 1.5));
     let (met, how) = kelpdoor_lab::scale::plan::crossing(&series[0], 0.23, true);
-    near(met.expect("met"), 6600.0);
+    assert_near(met.expect("met"), 6600.0);
     assert_eq!(how, "measured, between 5,000 and 9,000");
     let doubt = |at: f64| kelpdoor_lab::scale::plan::uncertainty(&series[0], 0.23, true, at);
     assert_eq!(doubt(4000.0), None);
--- a/crates/kelpdoor-lab/tests/scale.rs
+++ b/crates/kelpdoor-lab/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The small form of `scale`: counts, bounds and properties of what it measures, no verdict by timing.
+//! Small runs of the `scale` measurements: checks counts, bounds and properties, but no timing.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -22,8 +22,8 @@
     }
 }
 
-/// Virtual time is bounded by the plan; this is for what would never end.
-fn play(plan: &SimulationPlan) -> Outcome {
+/// Runs a simulation with a limit in real time, in case it never ends.
+fn run_simulation(plan: &SimulationPlan) -> Outcome {
     let o = simulate(plan, Instant::now() + Duration::from_secs(120));
     assert!(!o.cut_short, "{plan:?}");
     o
@@ -46,13 +46,13 @@
 }
 
 #[test]
-fn changes_come_into_force_and_nobody_acts_on_an_older_version_after_a_newer_one() {
+fn changes_come_into_force_and_no_older_version_is_acted_on_alone_afterwards() {
     for plan in [
         plan(),
         SimulationPlan { contradiction: 8.0, ..plan() },
         SimulationPlan { rate: 0.0, burst: 10, ..plan() },
     ] {
-        let o = play(&plan);
+        let o = run_simulation(&plan);
         assert_eq!(o.older_alone, 0.0, "{plan:?}");
         assert!(o.mixed <= plan.contradiction, "{plan:?}: {}", o.mixed);
         assert_eq!((o.begin_fractions.len(), o.not_in_force, o.given_up), (12, 0, 0), "{plan:?}");
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn a_simulation_is_the_same_again_with_the_same_seed() {
-    let (a, b) = (play(&plan()), play(&plan()));
+fn same_seed_repeats_the_simulation() {
+    let (a, b) = (run_simulation(&plan()), run_simulation(&plan()));
     assert_eq!(
         (a.begin_fractions, a.in_force_delays, a.events),
         (b.begin_fractions, b.in_force_delays, b.events)
@@ -82,11 +82,11 @@
 }
 
 #[test]
-fn who_has_no_change_begins_all_the_time_and_who_is_cut_off_does_not() {
-    let calm = play(&SimulationPlan { rate: 0.0, ..plan() });
-    assert!(calm.begin_fractions.iter().all(|p| *p > 0.999_999), "{:?}", calm.begin_fractions);
-    let cut = play(&SimulationPlan { cut: true, directors: 10, span: 60.0, ..plan() });
-    // A lease that was had runs out.
+fn directors_without_changes_may_always_begin_and_cut_off_directors_may_not() {
+    let unchanged = run_simulation(&SimulationPlan { rate: 0.0, ..plan() });
+    assert!(unchanged.begin_fractions.iter().all(|p| *p > 0.999_999), "{:?}", unchanged.begin_fractions);
+    let cut = run_simulation(&SimulationPlan { cut: true, directors: 10, span: 60.0, ..plan() });
+    // A lease held at the start of the partition is used until it expires.
     assert!(
         cut.cut_begin_fractions.len() == 2 && cut.cut_begin_fractions.iter().all(|p| *p <= 1.1 / 60.0),
         "{:?}",
@@ -102,20 +102,20 @@
 }
 
 #[test]
-fn bytes_go_with_the_change_and_a_lease_that_voters_refuse_is_told() {
-    let of = |document| play(&SimulationPlan { document, directors: 4, span: 10.0, ..plan() });
+fn bytes_depend_on_the_change_not_the_document_and_refused_leases_are_reported() {
+    let of = |document| run_simulation(&SimulationPlan { document, directors: 4, span: 10.0, ..plan() });
     let (small, large) = (of(2_000), of(20_000));
-    // Ten times the document, the same changes: told as chains they cost the same.
+    // Changes are sent as edits, so a document ten times as large costs the same.
     assert!(0.0 < small.documents && small.documents < small.bytes);
     assert!((large.documents - small.documents).abs() < 0.05 * small.documents, "{small:?} {large:?}");
-    let refused = play(&SimulationPlan { contradiction: 60.0, ..plan() });
+    let refused = run_simulation(&SimulationPlan { contradiction: 60.0, ..plan() });
     assert!(refused.begin_fractions.iter().all(|p| *p == 0.0));
     assert!(refused.refused.keys().all(|why| why.contains("a lease of 30 s")) && !refused.refused.is_empty());
     assert!(director_loop_cost(3, 2.0, 2_000, 2.0) > 0.0);
 }
 
 #[test]
-fn what_a_process_uses_is_told_and_no_process_is_said() {
+fn usage_of_a_process_is_read_and_a_missing_process_is_an_error() {
     let u = process::usage(std::process::id()).expect("ours");
     assert!(u.memory > 1e6 && u.descriptors >= 3.0 && u.core >= 0.0);
     assert!(process::usage(u32::MAX).is_err());
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn real_voters_are_measured_under_hollow_directors() {
+async fn real_voters_under_hollow_directors_yield_all_points() {
     let of = voters::Options {
         voters: vec![3],
         contradictions: vec![2.0],
@@ -155,14 +155,14 @@
     assert_eq!(points.partial, Vec::<String>::new());
     assert!(values(&points, "operator", "proposals").sum::<f64>() >= 1.0);
     assert!(values(&points, "fleet", "changes in force by the end").sum::<f64>() >= 1.0);
-    // Each change is one that voters take.
+    // Voters accept every change, so none is given up.
     assert_eq!(values(&points, "operator", "changes given up").collect::<Vec<_>>(), [0.0, 0.0]);
     let older = "an older version acted on alone after a newer one";
     assert!(values(&points, "safety", older).all(|y| y == 0.0));
 }
 
 #[tokio::test]
-async fn what_cannot_be_measured_is_refused_by_name() {
+async fn options_out_of_range_are_refused_by_name() {
     let of = voters::Options { voters: vec![4], ..voters::Options::default() };
     let why = voters::measure(&scale(vec![10]), &of).await.expect_err("four voters");
     assert_eq!(why.to_string(), "--voters: 3 or 5");
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_time_it_says_what_was_left_out() {
+async fn no_time_left_reports_all_measurements_as_partial() {
     let none = Scale { within: 0.0, ..scale(vec![10]) };
     let of = changes::Options { program: Some(PROGRAM.into()), ..changes::Options::default() };
     let points = changes::measure(&none, &of).await.expect("nothing to measure");
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn documents_of_any_size_are_such_as_voters_take() {
+async fn documents_of_any_size_are_valid() {
     let fleet = voters::Voters::start(PROGRAM.as_ref(), 3).await.expect("three voters");
     for bytes in [0, 2_000, 20_000, 200_000] {
         for change in 0..3 {
--- a/crates/kelpdoor-lab/tests/sessions.rs
+++ b/crates/kelpdoor-lab/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! The measurements at a real director in their small form: counts and bounds, no verdict by timing.
+//! Small runs of the measurements of a real director: checks counts and bounds, but no timing.
 
 use std::path::PathBuf;
 
@@ -31,11 +31,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_real_director_holds_what_is_counted() {
+async fn descriptors_of_a_real_director_match_sessions_and_links() {
     let points = measure(&scale(60.0), &small()).await.expect("measured");
     let sockets = of(&points, "descriptors", "sessions");
     assert_eq!(sockets.iter().map(|p| p.0).collect::<Vec<_>>(), [20.0, 60.0], "{:?}", points.partial);
-    // Each session has its connection, each node its link.
+    // One connection for each session, one link for each node.
     assert_eq!(sockets[1].1 - sockets[0].1, 40.0);
     assert!(sockets[0].1 >= 20.0 + 4.0);
     let links = of(&points, "descriptors", "nodes");
@@ -45,15 +45,15 @@
     let memory = of(&points, "memory", "sessions");
     assert!(memory.iter().all(|m| m.1 > 1e6 && m.1 < 1e9));
     let bytes = of(&points, "bytes to viewers", "messages/s");
-    // Of two sizes only the larger has messages. Where the machine stood still, it says that the rate was not
-    // reached, and gives no figure.
+    // Of two sizes only the larger has messages. If the machine stalled, the run reports that the rate was not reached
+    // and has no value.
     assert!(bytes.len() == 1 || points.partial.iter().any(|p| p.contains("a second came")));
     assert!(bytes.iter().all(|b| b.0 == 40.0 && b.1 >= 40.0 * 10.0));
     assert!(fit::series(&points.points, "", "").iter().all(|s| s.points.iter().all(|p| p.1 >= 0.0)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_time_it_says_what_is_missing() {
+async fn no_time_left_reports_all_measurements_as_partial() {
     let points = measure(&scale(0.0), &small()).await.expect("measured");
     assert!(points.points.is_empty());
     assert_eq!(points.partial.len(), 3, "{:?}", points.partial);
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn more_sessions_than_descriptors_are_left_out_and_told() {
+async fn more_sessions_than_descriptors_are_reported_as_partial() {
     let options = Options { held: vec![1 << 40], listed: vec![], ..small() };
     let points = measure(&scale(60.0), &options).await.expect("measured");
     assert!(points.points.is_empty() && points.partial[0].contains("descriptors"), "{:?}", points.partial);
