--- a/crates/kelpdoor-lab/src/scale.rs
+++ b/crates/kelpdoor-lab/src/scale.rs
@@ -42,6 +42,7 @@
     pub measurement: Option<Measurement>,
 }
 
+/// A single measurement, or a command on stored measurements.
 #[derive(Subcommand, Clone, Debug)]
 pub enum Measurement {
     /// Measures real voters under hollow directors: processor time, memory, bytes and response time.
--- a/crates/kelpdoor-lab/src/scale/changes.rs
+++ b/crates/kelpdoor-lab/src/scale/changes.rs
@@ -452,7 +452,7 @@
         out.events = 1;
         (out.measured, out.begin_fractions) = (measured, begin_fractions);
         let bytes: u64 = seen.voters.iter().map(|v| v.bytes.0 + v.bytes.1).sum();
-        let messages: u64 = seen.voters.iter().map(|v| v.words.0 + v.words.1).sum();
+        let messages: u64 = seen.voters.iter().map(|v| v.messages.0 + v.messages.1).sum();
         let asked: u64 = seen.voters.iter().map(|v| v.asked).sum();
         (out.bytes, out.messages) = (bytes as f64 / n / seen.seconds, messages as f64 / n / seen.seconds);
         out.questions = asked as f64 / plan.voters as f64 / seen.seconds;
--- a/crates/kelpdoor-lab/src/scale/fit.rs
+++ b/crates/kelpdoor-lab/src/scale/fit.rs
@@ -19,11 +19,15 @@
 /// A least-squares line `a + b·x`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LinearFit {
-    pub a: f64,
-    pub b: f64,
+    #[serde(rename = "a")]
+    pub intercept: f64,
+    #[serde(rename = "b")]
+    pub slope: f64,
     /// 95% intervals; `None` with fewer than three points.
-    pub a_within: Option<(f64, f64)>,
-    pub b_within: Option<(f64, f64)>,
+    #[serde(rename = "a_within")]
+    pub intercept_interval: Option<(f64, f64)>,
+    #[serde(rename = "b_within")]
+    pub slope_interval: Option<(f64, f64)>,
     pub sizes: usize,
     pub seeds: usize,
     /// Residual standard deviation, in the unit of `y`.
@@ -48,7 +52,7 @@
 }
 
 /// Slope and its 95% interval; `None` if all sizes are equal.
-fn slope(of: &[(f64, f64)]) -> Option<(f64, Option<(f64, f64)>)> {
+fn fit_slope(of: &[(f64, f64)]) -> Option<(f64, Option<(f64, f64)>)> {
     let (mx, my) = (mean(of.iter().map(|p| p.0)), mean(of.iter().map(|p| p.1)));
     let spread: f64 = of.iter().map(|p| (p.0 - mx).powi(2)).sum();
     if spread <= 0.0 {
@@ -64,12 +68,12 @@
     /// Fits a line to the points of one series; `None` with fewer than two sizes.
     pub fn fit(points: &[(f64, f64, u64)]) -> Option<LinearFit> {
         let xy: Vec<(f64, f64)> = points.iter().map(|p| (p.0, p.1)).collect();
-        let (b, b_within) = slope(&xy)?;
+        let (slope, slope_interval) = fit_slope(&xy)?;
         let n = xy.len();
         let (mx, my) = (mean(xy.iter().map(|p| p.0)), mean(xy.iter().map(|p| p.1)));
         let spread: f64 = xy.iter().map(|p| (p.0 - mx).powi(2)).sum();
-        let a = my - b * mx;
-        let squared_residuals: f64 = xy.iter().map(|p| (p.1 - a - b * p.0).powi(2)).sum();
+        let intercept = my - slope * mx;
+        let squared_residuals: f64 = xy.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2)).sum();
         let residual = (squared_residuals / n.saturating_sub(2).max(1) as f64).sqrt();
         let mut sizes: Vec<f64> = xy.iter().map(|p| p.0).collect();
         sizes.sort_by(f64::total_cmp);
@@ -78,10 +82,10 @@
         seeds.sort_unstable();
         seeds.dedup();
         let mut line = LinearFit {
-            a,
-            b,
-            a_within: None,
-            b_within,
+            intercept,
+            slope,
+            intercept_interval: None,
+            slope_interval,
             sizes: sizes.len(),
             seeds: seeds.len(),
             residual,
@@ -91,7 +95,7 @@
             spread,
             points: n,
         };
-        line.a_within = line.interval_at(0.0);
+        line.intercept_interval = line.interval_at(0.0);
         if !line.too_few {
             line.bends = detect_curvature(&xy, &line).or_else(|| detect_slope_change(&xy, &sizes));
         }
@@ -100,7 +104,7 @@
 
     /// Value of the line at `x`.
     pub fn value_at(&self, x: f64) -> f64 {
-        self.a + self.b * x
+        self.intercept + self.slope * x
     }
 
     /// 95% interval of the line at `x`.
@@ -118,7 +122,7 @@
     // The quadratic term, orthogonal to the line.
     let us: Vec<f64> = xy.iter().map(|p| (p.0 - line.mean) / scale).collect();
     let squares: Vec<(f64, f64)> = us.iter().map(|u| (*u, u * u)).collect();
-    let (along, _) = slope(&squares)?;
+    let (along, _) = fit_slope(&squares)?;
     let level = mean(squares.iter().map(|s| s.1));
     let rest: Vec<f64> = us.iter().map(|u| u * u - level - along * u).collect();
     let spread: f64 = rest.iter().map(|q| q * q).sum();
@@ -141,8 +145,8 @@
 fn detect_slope_change(xy: &[(f64, f64)], sizes: &[f64]) -> Option<String> {
     let middle = sizes[sizes.len() / 2];
     let (lower, upper): (Vec<_>, Vec<_>) = xy.iter().partition(|p| p.0 < middle);
-    let (below, within) = slope(&lower)?;
-    let (above, _) = slope(&upper)?;
+    let (below, within) = fit_slope(&lower)?;
+    let (above, _) = fit_slope(&upper)?;
     let (low, high) = within?;
     let apart = (above - below).abs() > MIN_BEND_FRACTION * below.abs().max(above.abs());
     (apart && !(low..=high).contains(&above))
--- a/crates/kelpdoor-lab/src/scale/hollow.rs
+++ b/crates/kelpdoor-lab/src/scale/hollow.rs
@@ -59,7 +59,8 @@
     pub connected: u64,
     /// Bytes and messages to the voter and from it.
     pub bytes: (u64, u64),
-    pub words: (u64, u64),
+    #[serde(rename = "words")]
+    pub messages: (u64, u64),
     /// Histogram of response times in µs, as pairs of value and count.
     pub answers: Vec<(u64, u64)>,
     /// Histogram of times in µs from the reset to a director's first response.
@@ -92,7 +93,7 @@
             to.ended += v.ended;
             to.connected += v.connected;
             to.bytes = (to.bytes.0 + v.bytes.0, to.bytes.1 + v.bytes.1);
-            to.words = (to.words.0 + v.words.0, to.words.1 + v.words.1);
+            to.messages = (to.messages.0 + v.messages.0, to.messages.1 + v.messages.1);
             to.answers.extend(&v.answers);
             to.firsts.extend(&v.firsts);
         }
@@ -291,7 +292,7 @@
         self.group.count(v, |t| {
             t.seen.asked += u64::from(matches!(request, ClientRequest::Renew { .. }));
             t.seen.bytes.0 += n as u64;
-            t.seen.words.0 += 1;
+            t.seen.messages.0 += 1;
         });
     }
 
@@ -371,7 +372,7 @@
 
     /// Handles a response; returns whether to keep the connection.
     fn handle_voter_response(&self, v: usize, response: VoterResponse) -> bool {
-        self.group.count(v, |t| t.seen.words.1 += 1);
+        self.group.count(v, |t| t.seen.messages.1 += 1);
         let voter = VoterId(v as u8);
         match response {
             VoterResponse::Welcome { me } if me == voter => {
--- a/crates/kelpdoor-lab/src/scale/plan/limits.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/limits.rs
@@ -162,8 +162,8 @@
     let Some(whole) = &s.line else { return (None, "not met at the one size".into()) };
     let bends = whole.bends.is_some();
     let line = if bends { upper_half_fit(s).unwrap_or_else(|| whole.clone()) } else { whole.clone() };
-    let x = (bound - line.a) / line.b;
-    let grows = if upper { line.b > 0.0 } else { line.b < 0.0 };
+    let x = (bound - line.intercept) / line.slope;
+    let grows = if upper { line.slope > 0.0 } else { line.slope < 0.0 };
     if !grows || !x.is_finite() {
         return (None, format!("not met up to {} {}, and it does not grow", number(last.0), s.by));
     }
@@ -182,9 +182,9 @@
 /// Compares the slope with a bound, which then holds at every size or at none.
 fn slope_limit(s: &Series, bound: f64) -> (Option<f64>, String) {
     let Some(line) = &s.line else { return (None, "one size: what each adds is not known".into()) };
-    let adds = format!("each adds {}", figure(line.b, &s.unit));
+    let adds = format!("each adds {}", figure(line.slope, &s.unit));
     let bends = line.bends.as_ref().map(|b| format!("; the line bends {b}")).unwrap_or_default();
-    if line.b > bound {
+    if line.slope > bound {
         return (s.medians().first().map(|m| m.0), format!("measured; {adds}, over it at every size{bends}"));
     }
     (None, format!("measured; {adds}, under it at every size{bends}"))
--- a/crates/kelpdoor-lab/src/scale/plan/roles.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/roles.rs
@@ -385,12 +385,12 @@
             .map_or("no slope is told for a part of 1".into(), |b| format!("bends {b}"));
     }
     let each = singular(&s.by);
-    let b = figure(line.b, &s.unit);
-    let within = line.b_within.map_or("no interval".into(), |(low, high)| {
+    let b = figure(line.slope, &s.unit);
+    let within = line.slope_interval.map_or("no interval".into(), |(low, high)| {
         format!("{} to {}", figure(low, &s.unit), figure(high, &s.unit))
     });
     let bends = line.bends.as_ref().map(|b| format!("; **bends** {b}")).unwrap_or_default();
-    format!("{b} a {each} ({within}), from {}{bends}", figure(line.a, &s.unit))
+    format!("{b} a {each} ({within}), from {}{bends}", figure(line.intercept, &s.unit))
 }
 
 /// Measured sizes and number of seeds, as printed.
@@ -486,7 +486,7 @@
 }
 
 /// Rows without measurements, and measured series without a row.
-pub fn missing(_aim: &FleetTarget, data: &CapacityData) -> String {
+pub fn missing(_target: &FleetTarget, data: &CapacityData) -> String {
     let mut out = String::new();
     for row in ROWS {
         if !data.series.iter().any(|s| row.matches_series(s)) {
--- a/crates/kelpdoor-lab/src/scale/target.rs
+++ b/crates/kelpdoor-lab/src/scale/target.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// A target file.
+/// Contents of a target file.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FleetTarget {
     pub target: Target,
--- a/crates/kelpdoor-lab/src/scale/voters.rs
+++ b/crates/kelpdoor-lab/src/scale/voters.rs
@@ -208,7 +208,7 @@
                 put("voter", &format!("answer, {name}"), "s", answers.value_at_quantile(q) as f64 / 1e6);
             }
             put("director", "control bytes", "B/s", mean(&|v| v.bytes.0 + v.bytes.1) * n / d);
-            put("director", "control messages", "1/s", mean(&|v| v.words.0 + v.words.1) * n / d);
+            put("director", "control messages", "1/s", mean(&|v| v.messages.0 + v.messages.1) * n / d);
             let spent = core(&hollow_after) - core(&hollow_before);
             // Sums over all directors, so that the slope is the cost of each one without that of the process.
             put("directors", "processor time of followers and lines", "core", spent / s);
--- a/crates/kelpdoor-lab/tests/plan.rs
+++ b/crates/kelpdoor-lab/tests/plan.rs
@@ -33,13 +33,13 @@
 #[test]
 fn fit_of_known_points_has_the_known_interval() {
     let of = line(&ANSCOMBE_X, &ANSCOMBE_1);
-    assert_near(of.a, 3.0001);
-    assert_near(of.b, 0.5001);
+    assert_near(of.intercept, 3.0001);
+    assert_near(of.slope, 0.5001);
     assert_near(of.residual, 1.2366);
-    let (low, high) = of.b_within.expect("an interval");
+    let (low, high) = of.slope_interval.expect("an interval");
     assert_near(low, 0.2334);
     assert_near(high, 0.7668);
-    let (low, high) = of.a_within.expect("an interval");
+    let (low, high) = of.intercept_interval.expect("an interval");
     assert_near(low, 0.4557);
     assert_near(high, 5.5444);
     assert_eq!((of.sizes, of.seeds, of.bends, of.too_few), (11, 1, None, false));
@@ -70,7 +70,7 @@
 fn too_few_sizes_report_no_bend_and_one_size_has_no_fit() {
     let of = line(&[1.0, 2.0, 3.0], &[1.0, 4.0, 9.0]);
     assert!(of.too_few && of.bends.is_none());
-    assert_eq!(line(&[1.0, 2.0], &[1.0, 4.0]).b_within, None);
+    assert_eq!(line(&[1.0, 2.0], &[1.0, 4.0]).slope_interval, None);
     assert_eq!(LinearFit::fit(&[(1.0, 2.0, 1), (1.0, 3.0, 2)]), None);
     assert_eq!(LinearFit::fit(&[]), None);
 }
@@ -199,7 +199,7 @@
         assert_eq!(s.line.is_some(), LinearFit::fit(&s.points).is_some(), "{} {}", s.role, s.what);
         if let (Some(stored), Some(computed)) = (&s.line, LinearFit::fit(&s.points)) {
             assert!(
-                (stored.b - computed.b).abs() <= 1e-9 * computed.b.abs(),
+                (stored.slope - computed.slope).abs() <= 1e-9 * computed.slope.abs(),
                 "{} {}: its line is of other points",
                 s.role,
                 s.what
