--- a/crates/kelpdoor-lab/src/scale/plan/roles.rs
+++ b/crates/kelpdoor-lab/src/scale/plan/roles.rs
@@ -115,6 +115,7 @@
 const FOLLOWER: &str = "a lease renewed with each voter";
 const VOTER_ANSWERS: &str = "one answer a question, to each director by itself; relays are not there";
 
+/// All rows of the table, in the order of the page.
 pub const ROWS: &[Row] = &[
     row("director: sessions", "memory", ("director", "memory", SESSIONS), Nothing, SESSION_TABLES, IN_CODE),
     row(
--- a/crates/kelpdoor-lab/src/scale/voters.rs
+++ b/crates/kelpdoor-lab/src/scale/voters.rs
@@ -24,6 +24,7 @@
 use super::process::{ProcessUsage, load_average, max_descriptors, usage};
 use crate::daemon::Daemon;
 
+/// Fleet name of the measured voters.
 pub const FLEET: &str = "scale";
 /// Most directors of a process; one thread of a shared machine keeps up with twice as many at 20 requests a second each.
 const MAX_DIRECTORS_PER_PROCESS: usize = 750;
