--- a/crates/kelpdoor-lab/src/daemon.rs
+++ b/crates/kelpdoor-lab/src/daemon.rs
@@ -1,4 +1,5 @@
-//! The daemon as a process of its own: this very binary, run as the daemon, ended with the lab by its standard input.
+//! Runs the daemon as a child process. The child holds the read end of a pipe as its standard input and exits when the lab
+//! does.
 
 use std::ffi::OsStr;
 use std::fs::OpenOptions;
@@ -11,22 +12,23 @@
 use tokio::process::{Child, ChildStdin, Command};
 use tokio::time::timeout;
 
-/// It says where it listens within this, if it ever does.
-const START: Duration = Duration::from_secs(20);
+/// Maximum time until the daemon prints the address that it listens on.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// A running daemon; it is killed on drop.
 pub struct Daemon {
     pub child: Child,
-    /// Held open: the daemon ends when it closes.
+    /// Kept open: the daemon exits when this end of the pipe closes.
     _stdin: Option<ChildStdin>,
-    /// Where it listens, as it says.
+    /// The address that it printed.
     pub address: String,
 }
 
 impl Daemon {
-    /// Starts it, its log added to that file, and waits until it listens.
+    /// Starts the daemon with `arguments`, appends its standard error to `log`, and waits until it listens.
     ///
     /// # Errors
-    /// Where it cannot be started or ends at once; the log tells why.
+    /// If it cannot be started, exits at once or does not listen in time. The log states why.
     pub async fn start<S: AsRef<OsStr>>(program: &Path, arguments: &[S], log: &Path) -> Result<Daemon> {
         let file = OpenOptions::new().create(true).append(true).open(log)?;
         let mut child = Command::new(program)
@@ -39,13 +41,13 @@
             .kill_on_drop(true)
             .spawn()
             .context("starting the daemon")?;
-        let out = child.stdout.take().context("the daemon's output")?;
-        let mut lines = BufReader::new(out).lines();
-        let see = || format!("see {}", log.display());
-        let line = timeout(START, lines.next_line())
+        let stdout = child.stdout.take().context("the daemon has no standard output")?;
+        let mut lines = BufReader::new(stdout).lines();
+        let see_log = || format!("see {}", log.display());
+        let line = timeout(START_TIMEOUT, lines.next_line())
             .await
-            .with_context(|| format!("it does not start; {}", see()))??;
-        let line = line.with_context(|| format!("it ended at once; {}", see()))?;
+            .with_context(|| format!("the daemon does not start; {}", see_log()))??;
+        let line = line.with_context(|| format!("the daemon exited at once; {}", see_log()))?;
         let address = line.rsplit(' ').next().unwrap_or("").to_owned();
         Ok(Daemon { _stdin: child.stdin.take(), child, address })
     }
--- a/crates/kelpdoor-lab/src/voters.rs
+++ b/crates/kelpdoor-lab/src/voters.rs
@@ -1,4 +1,4 @@
-//! Voters as processes of their own, relays before each of them, and proposals by the daemon's own command.
+//! Runs voters as child processes behind fault-injecting relays, and proposes documents with the daemon's own command.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -21,81 +21,90 @@
 use crate::record::{Recorder, What};
 use crate::trouble::Size;
 
+/// Name of the fleet in the agreement.
 pub const FLEET: &str = "lab";
-/// Words of the shared settings that a director keeps to itself.
-const OWN: [&str; 2] = ["players(", "node_links("];
+/// Prefixes of the settings lines that stay with each director and are not part of the agreed document.
+const LOCAL_SETTINGS: [&str; 2] = ["players(", "node_links("];
 
-/// Who lies where: what the scripts of all processes are made of.
-struct Plan {
+/// Paths, addresses and settings from which the settings of all processes are generated.
+struct Layout {
     program: PathBuf,
     dir: PathBuf,
-    /// Of each voter, then of each director: how its clock runs, and where it reaches each voter.
-    rates: Vec<f64>,
-    lines: Vec<Vec<SocketAddr>>,
+    /// Clock rate of each voter, then of each director.
+    clock_rates: Vec<f64>,
+    /// For each voter, then for each director: the addresses of its relays to all voters.
+    relays: Vec<Vec<SocketAddr>>,
     size: Size,
-    /// The document's text, and what each director has besides.
-    shared: (String, String),
+    /// Text of the agreed document, without its lists.
+    document: String,
+    /// Settings that each director has locally.
+    local: String,
 }
 
-/// The voters of a day.
+/// The voter processes of a simulated day.
 pub struct VoterProcesses {
-    plan: Arc<Plan>,
+    layout: Arc<Layout>,
     proxy: FaultProxy,
     children: Vec<Option<Daemon>>,
-    /// Who is not asked to found the fleet at its start: who did, and who joins.
+    /// Voters that start without `--found`: those that already founded the fleet and those that join it.
     founded: Vec<bool>,
-    /// On the list that was agreed last.
+    /// The voter list agreed last.
     listed: Vec<u32>,
     recorder: Recorder,
 }
 
-/// Who proposes.
+/// Proposes documents, one after the other.
 pub struct Proposer {
-    plan: Arc<Plan>,
+    layout: Arc<Layout>,
     recorder: Recorder,
-    /// The newest version that it was told of.
+    /// The newest version known from responses.
     newest: u64,
-    /// The voters of the list that was agreed last, as far as it was told.
+    /// The newest voter list known from responses.
     voters: Vec<u32>,
 }
 
-/// All that a day has of voters.
+/// Voters, proposer and fault proxy of a simulated day. Clones share their state.
 #[derive(Clone)]
 pub struct AgreementCluster {
-    plan: Arc<Plan>,
+    layout: Arc<Layout>,
     pub proxy: FaultProxy,
     pub voters: Arc<Mutex<VoterProcesses>>,
     pub proposer: Arc<Mutex<Proposer>>,
 }
 
-/// The documents of a day: what is agreed, and what stays with each director.
-fn split(shared: &str) -> (String, String) {
-    let own = |line: &&str| OWN.iter().any(|w| line.starts_with(w));
-    let (own, doc): (Vec<&str>, Vec<&str>) = shared.lines().partition(own);
-    (doc.join("\n"), own.join("\n"))
+/// Splits settings into those of the agreed document and those that stay with each director.
+fn split_settings(shared: &str) -> (String, String) {
+    let is_local = |line: &&str| LOCAL_SETTINGS.iter().any(|w| line.starts_with(w));
+    let (local, document): (Vec<&str>, Vec<&str>) = shared.lines().partition(is_local);
+    (document.join("\n"), local.join("\n"))
 }
 
 impl AgreementCluster {
+    /// Creates all relays and starts the founding voters.
+    ///
+    /// # Errors
+    /// If a relay cannot listen or a voter does not start.
     pub async fn start(
         program: &Path, dir: &Path, size: &Size, shared: &str, recorder: Recorder,
     ) -> Result<Self> {
         let proxy = FaultProxy::default();
         let mut rng = Rng::with_seed(size.seed ^ 0xc10c);
         let (n, d) = (size.voters + size.spare_voters, size.directors);
-        let sites = (0..n).map(Endpoint::Voter).chain((0..d).map(Endpoint::Director));
-        let (mut lines, mut rates) = (Vec::new(), Vec::new());
-        for from in sites {
-            let mut line = Vec::new();
+        let endpoints = (0..n).map(Endpoint::Voter).chain((0..d).map(Endpoint::Director));
+        let (mut relays, mut clock_rates) = (Vec::new(), Vec::new());
+        for from in endpoints {
+            let mut to_voters = Vec::new();
             for to in 0..n {
-                line.push(proxy.add_relay(from, Endpoint::Voter(to)).await?);
+                to_voters.push(proxy.add_relay(from, Endpoint::Voter(to)).await?);
             }
-            lines.push(line);
-            rates.push(if size.clocks_apart { 0.995 + 0.01 * rng.f64() } else { 1.0 });
+            relays.push(to_voters);
+            clock_rates.push(if size.clocks_apart { 0.995 + 0.01 * rng.f64() } else { 1.0 });
         }
-        let (program, dir, shared) = (program.to_owned(), dir.to_owned(), split(shared));
-        let plan = Arc::new(Plan { program, dir, rates, lines, size: size.clone(), shared });
+        let (program, dir, (document, local)) = (program.to_owned(), dir.to_owned(), split_settings(shared));
+        let layout =
+            Arc::new(Layout { program, dir, clock_rates, relays, size: size.clone(), document, local });
         let mut processes = VoterProcesses {
-            plan: plan.clone(),
+            layout: layout.clone(),
             proxy: proxy.clone(),
             children: (0..n).map(|_| None).collect(),
             founded: (0..n).map(|v| v >= size.voters).collect(),
@@ -106,36 +115,42 @@
             processes.start_voter(v).await?;
         }
         let voters = (0..size.voters).collect();
-        let proposer = Proposer { plan: plan.clone(), recorder, newest: 0, voters };
+        let proposer = Proposer { layout: layout.clone(), recorder, newest: 0, voters };
         Ok(AgreementCluster {
-            plan,
+            layout,
             proxy,
             voters: Arc::new(Mutex::new(processes)),
             proposer: Arc::new(Mutex::new(proposer)),
         })
     }
 
-    /// Steps a director's wall clock to that many seconds off.
+    /// Sets the offset of a director's wall clock, in seconds.
+    ///
+    /// # Errors
+    /// If the offset file cannot be written.
     pub fn step_wall_clock(&self, d: u32, off: f64) -> Result<()> {
-        Ok(fs::write(self.plan.wall(d), off.to_string())?)
+        Ok(fs::write(self.layout.clock_offset_file(d), off.to_string())?)
     }
 
-    /// The whole script of a director; `cache` is its kept list.
+    /// Generates the settings of a director. `cache` is the file of its cached roster.
     pub fn director_script(&self, d: u32, name: &str, roster: SocketAddr, cache: &Path) -> String {
-        self.plan.director_script(d, name, roster, cache)
+        self.layout.director_script(d, name, roster, cache)
     }
 }
 
 impl VoterProcesses {
-    fn note(&self, v: u32, event: &str) {
+    fn record_event(&self, v: u32, event: &str) {
         self.recorder.put(What::Voter { voter: v, event: event.to_owned() });
     }
 
-    fn folder(&self, v: u32) -> PathBuf {
-        self.plan.dir.join(format!("voter-{v}"))
+    fn directory(&self, v: u32) -> PathBuf {
+        self.layout.dir.join(format!("voter-{v}"))
     }
 
-    /// Starts those of them that do not run.
+    /// Starts those of `voters` that are not running.
+    ///
+    /// # Errors
+    /// If one does not start.
     pub async fn start_stopped(&mut self, voters: &[u32]) -> Result<()> {
         for &v in voters {
             if self.children[v as usize].is_none() {
@@ -145,112 +160,128 @@
         Ok(())
     }
 
-    /// These are on the list now: they run, though an earlier list had ended one meanwhile.
+    /// Sets the agreed voter list and starts those of its voters that an earlier list had stopped meanwhile.
+    ///
+    /// # Errors
+    /// If one does not start.
     pub async fn set_listed(&mut self, voters: &[u32]) -> Result<()> {
         self.listed = voters.to_vec();
         self.start_stopped(voters).await
     }
 
-    /// Ends those of them that no later list has put on again.
-    pub async fn stop_unlisted(&mut self, off: &[u32]) {
-        for v in off.iter().copied().filter(|v| !self.listed.contains(v)).collect::<Vec<_>>() {
+    /// Kills those of `removed` that no later list has added again.
+    pub async fn stop_unlisted(&mut self, removed: &[u32]) {
+        for v in removed.iter().copied().filter(|v| !self.listed.contains(v)).collect::<Vec<_>>() {
             self.kill(v).await;
         }
     }
 
-    /// Starts a voter, wherever it may listen: the relays before it know.
+    /// Starts a voter on any free port and points its relays at it.
+    ///
+    /// # Errors
+    /// If its files cannot be written or it does not start.
     pub async fn start_voter(&mut self, v: u32) -> Result<()> {
         let k = v as usize;
-        fs::create_dir_all(self.folder(v))?;
-        let store = self.folder(v).join("store").display().to_string();
+        fs::create_dir_all(self.directory(v))?;
+        let store = self.directory(v).join("store").display().to_string();
         let script = format!(
             "voter(me = {v}, {}, listen = \"127.0.0.1:0\", fleet = \"{FLEET}\", store = {store:?}, clock_rate = {})\n",
-            self.plan.list(k),
-            self.plan.rates[k],
+            self.layout.voter_arguments(k),
+            self.layout.clock_rates[k],
         );
-        let path = self.plan.dir.join(format!("voter-{v}.star"));
+        let path = self.layout.dir.join(format!("voter-{v}.star"));
         fs::write(&path, script)?;
         let mut arguments = vec!["keeper".to_owned(), "--config".to_owned(), path.display().to_string()];
         if !std::mem::replace(&mut self.founded[k], true) {
             arguments.push("--found".to_owned());
         }
-        let log = self.plan.dir.join(format!("voter-{v}.log"));
-        let daemon = Daemon::start(&self.plan.program, &arguments, &log)
+        let log = self.layout.dir.join(format!("voter-{v}.log"));
+        let daemon = Daemon::start(&self.layout.program, &arguments, &log)
             .await
             .with_context(|| format!("voter {v}"))?;
         self.proxy.set_target(Endpoint::Voter(v), daemon.address.parse()?);
         self.children[k] = Some(daemon);
-        self.note(v, "started");
+        self.record_event(v, "started");
         Ok(())
     }
 
+    /// Kills a voter with SIGKILL.
     pub async fn kill(&mut self, v: u32) {
-        self.note(v, "killed");
+        self.record_event(v, "killed");
         if let Some(mut daemon) = self.children[v as usize].take() {
             let _ = daemon.child.kill().await;
         }
     }
 
+    /// Pauses a voter with SIGSTOP, or resumes it.
     pub fn set_stalled(&self, v: u32, on: bool) {
-        self.note(v, if on { "stalled" } else { "resumed" });
+        self.record_event(v, if on { "stalled" } else { "resumed" });
         let signal = if on { Signal::SIGSTOP } else { Signal::SIGCONT };
         if let Some(pid) = self.children[v as usize].as_ref().and_then(|c| c.child.id()) {
             let _ = kill(Pid::from_raw(pid as i32), signal);
         }
     }
 
-    /// Its disk is gone, with all that was on it.
+    /// Removes a voter's directory with its store.
+    ///
+    /// # Errors
+    /// If the directory cannot be removed.
     pub fn erase_disk(&self, v: u32) -> Result<()> {
-        self.note(v, "lost its disk");
-        Ok(fs::remove_dir_all(self.folder(v))?)
+        self.record_event(v, "lost its disk");
+        Ok(fs::remove_dir_all(self.directory(v))?)
     }
 
-    /// Its disk takes nothing any more, or does again.
+    /// Makes all writes of a voter fail by moving its directory away, or moves it back.
+    ///
+    /// # Errors
+    /// If the directory cannot be moved.
     pub fn set_disk_full(&self, v: u32, on: bool) -> Result<()> {
-        self.note(v, if on { "cannot write" } else { "can write" });
-        let (here, away) = (self.folder(v), self.plan.dir.join(format!("voter-{v}-away")));
-        let moved = if on { fs::rename(here, away) } else { fs::rename(away, here) };
+        self.record_event(v, if on { "cannot write" } else { "can write" });
+        let (directory, aside) = (self.directory(v), self.layout.dir.join(format!("voter-{v}-away")));
+        let moved = if on { fs::rename(directory, aside) } else { fs::rename(aside, directory) };
         Ok(moved?)
     }
 }
 
-impl Plan {
-    /// Founders, and how this site reaches each voter there will ever be: by its own relays.
-    fn list(&self, site: usize) -> String {
-        let lines = &self.lines[site];
-        let named = |n: usize| {
-            let all = lines.iter().enumerate().take(n).map(|(k, a)| format!("\"{k}\": \"{a}\""));
+impl Layout {
+    /// Settings of the founding voters and of the addresses at which this endpoint reaches every voter: its own relays.
+    fn voter_arguments(&self, endpoint: usize) -> String {
+        let relays = &self.relays[endpoint];
+        let entries = |n: usize| {
+            let all = relays.iter().enumerate().take(n).map(|(k, a)| format!("\"{k}\": \"{a}\""));
             all.collect::<Vec<_>>().join(", ")
         };
-        format!("voters = {{{}}}, reach = {{{}}}", named(self.size.voters as usize), named(lines.len()))
+        format!("voters = {{{}}}, reach = {{{}}}", entries(self.size.voters as usize), entries(relays.len()))
     }
 
-    fn wall(&self, d: u32) -> PathBuf {
+    fn clock_offset_file(&self, d: u32) -> PathBuf {
         self.dir.join(format!("director-{d}.wall"))
     }
 
     fn director_script(&self, d: u32, name: &str, roster: SocketAddr, cache: &Path) -> String {
         let zone = &self.size.zones[d as usize % self.size.zones.len()];
-        let site = (self.size.voters + self.size.spare_voters + d) as usize;
+        let endpoint = (self.size.voters + self.size.spare_voters + d) as usize;
         let copy = self.dir.join(format!("director-{d}.rules")).display().to_string();
-        let wall = self.wall(d).display().to_string();
+        let wall = self.clock_offset_file(d).display().to_string();
         format!(
             "{own}\ndirector(zone = {zone:?}, listen = \"127.0.0.1:0\")\nroster(address = \"{roster}\", cache = {cache:?})\n\
              agreement({list}, fleet = \"{FLEET}\", name = \"{name}\", copy = {copy:?}, clock_rate = {rate}, \
              wall_off = {wall:?})\n",
-            own = self.shared.1,
+            own = self.local,
             cache = cache.display().to_string(),
-            list = self.list(site),
-            rate = self.rates[site],
+            list = self.voter_arguments(endpoint),
+            rate = self.clock_rates[endpoint],
         )
     }
 
-    /// Documents of a day differ in floors, seats, the cold pace, SETUPs a session, the list of directors and that of nodes, of
-    /// which one is off or drained at times; none laxer
-    /// than the settings that the other rules are judged by.
+    /// Generates a document; returns its text, the floor of group `story` and the nodes that it drains or omits.
+    ///
+    /// Documents differ in floors, seats, the pace of cold nodes, SETUPs per session, the list of directors and the list of
+    /// nodes, of which one is sometimes omitted or drained. None is laxer than the settings that the six rules are checked
+    /// against.
     fn document(&self, change: u32, voters: &[u32]) -> (String, u8, Vec<u32>) {
         let floor = (change % 2) as u8;
-        let mut text = self.shared.0.clone();
+        let mut text = self.document.clone();
         text = text.replace(
             "start_target = 1.0, top = 3)",
             &format!("start_target = 1.0, top = 3, floor = {floor})"),
@@ -280,7 +311,7 @@
             let (name, first, cells) = (t.name, t.first_cell, t.cells);
             text += &format!("\ntitle({name:?}, first_cell = {first}, cells = {cells})");
         }
-        // Each process is told otherwise: it goes by its relays.
+        // These addresses are placeholders: the local settings of each process override them with its relays.
         let at: Vec<String> = voters.iter().map(|v| format!("\"{v}\": \"127.0.0.1:{}\"", 1 + v)).collect();
         text += &format!("\nvoters(at = {{{}}})", at.join(", "));
         let setups = 3 - u32::from(change % 7 == 6);
@@ -294,36 +325,46 @@
 }
 
 impl Proposer {
-    /// Proposes the document of that number by the daemon's own command, through a director's lines; what came of it.
+    /// Proposes the document of number `change` with the daemon's own command, over the relays of director `through`. Returns
+    /// the command's output.
+    ///
+    /// # Errors
+    /// If files cannot be written or the command cannot be run.
     pub async fn propose(&mut self, change: u32, through: u32) -> Result<String> {
         let voters = self.voters.clone();
         self.propose_list(change, through, &voters).await
     }
 
-    /// And with that list of voters; if it was agreed, those of the one before it that are off it.
+    /// Proposes a document with a new voter list. If it was agreed, returns the voters that it removed.
+    ///
+    /// # Errors
+    /// As of [`Proposer::propose`].
     pub async fn propose_voters(
         &mut self, change: u32, through: u32, voters: &[u32],
     ) -> Result<Option<Vec<u32>>> {
-        let before = self.voters.clone();
-        let said = self.propose_list(change, through, voters).await?;
-        if !said.starts_with("agreed ") {
+        let previous = self.voters.clone();
+        let response = self.propose_list(change, through, voters).await?;
+        if !response.starts_with("agreed ") {
             return Ok(None);
         }
         self.voters = voters.to_vec();
-        Ok(Some(before.into_iter().filter(|v| !voters.contains(v)).collect()))
+        Ok(Some(previous.into_iter().filter(|v| !voters.contains(v)).collect()))
     }
 
     async fn propose_list(&mut self, change: u32, through: u32, voters: &[u32]) -> Result<String> {
-        let (text, floor, without) = self.plan.document(change, voters);
+        let (text, floor, without) = self.layout.document(change, voters);
         let sum = digest(&SHA256, text.as_bytes());
         let digest: String = sum.as_ref()[..8].iter().map(|b| format!("{b:02x}")).collect();
-        let file = self.plan.dir.join(format!("document-{change}.star"));
+        let file = self.layout.dir.join(format!("document-{change}.star"));
         fs::write(&file, text)?;
-        // The settings of an operator who sits where that director does.
-        let any = "127.0.0.1:1".parse()?;
-        let config = self.plan.dir.join(format!("operator-{through}.star"));
-        fs::write(&config, self.plan.director_script(through, "operator", any, Path::new("unused")))?;
-        let mut command = Command::new(&self.plan.program);
+        // Settings of an operator that shares the network paths of that director.
+        let unused_roster = "127.0.0.1:1".parse()?;
+        let config = self.layout.dir.join(format!("operator-{through}.star"));
+        fs::write(
+            &config,
+            self.layout.director_script(through, "operator", unused_roster, Path::new("unused")),
+        )?;
+        let mut command = Command::new(&self.layout.program);
         command.args(["director", "propose"]).arg(&file).args([
             "--after",
             &self.newest.to_string(),
@@ -331,19 +372,25 @@
         ]);
         command.arg(&config).kill_on_drop(true);
         let after = self.newest;
-        let digest_of = digest.clone();
-        self.recorder.put(What::Proposed { change, digest: digest_of, after, story_floor: floor, without });
+        let proposed_digest = digest.clone();
+        self.recorder.put(What::Proposed {
+            change,
+            digest: proposed_digest,
+            after,
+            story_floor: floor,
+            without,
+        });
         let out = match timeout(Duration::from_secs(30), command.output()).await {
             Err(_) => return Ok("no answer".to_owned()),
             Ok(out) => out?,
         };
         let said = String::from_utf8_lossy(if out.status.success() { &out.stdout } else { &out.stderr });
         let said = said.trim().to_owned();
-        let number = |of: &str| of.split('/').next().and_then(|n| n.parse::<u64>().ok());
+        let number = |version: &str| version.split('/').next().and_then(|n| n.parse::<u64>().ok());
         if let Some(n) = said.strip_prefix("agreed ").and_then(number) {
             self.newest = self.newest.max(n);
         }
-        // Told by what it lost: the next one is made from that.
+        // A rejected proposal learns the newest version from the error; the next one is based on that.
         if let Some(n) = said.rsplit("version is ").next().filter(|_| !out.status.success()).and_then(number)
         {
             self.newest = self.newest.max(n);
