--- a/crates/kelpdoor-lab/src/agreement_check.rs
+++ b/crates/kelpdoor-lab/src/agreement_check.rs
@@ -10,7 +10,7 @@
 
 use crate::record::{Line, What};
 
-/// Maximum reordering between the records of two sockets, in seconds. Otherwise no director may act on an older version alone
+/// Maximum reordering between the records of two sockets, in seconds. Beyond it, no director may act on an older version alone
 /// after another acted on a newer one alone.
 const MAX_RECORD_SKEW: f64 = 0.25;
 /// Time after the last fault within which all directors act on one version, in seconds.
--- a/crates/kelpdoor-lab/src/chaos.rs
+++ b/crates/kelpdoor-lab/src/chaos.rs
@@ -183,7 +183,7 @@
     Ok(RunResult { rules: check(&lines), agreement, ended_well: outcome.ended_well })
 }
 
-/// Removes lines from a failing schedule as long as it still fails: first half of them at a time, then ever fewer. Stops
+/// Removes lines from a failing schedule as long as it still fails: half of them at a time first, then fewer and fewer. Stops
 /// after `max_runs` runs.
 ///
 /// # Errors
--- a/crates/kelpdoor-lab/src/platform.rs
+++ b/crates/kelpdoor-lab/src/platform.rs
@@ -81,6 +81,7 @@
 pub struct Day {
     pub directors: u32,
     pub nodes: u32,
+    /// Time during which viewers start sessions.
     pub seconds: f64,
     /// Set-ups per second at each director.
     pub rate: f64,
@@ -304,12 +305,12 @@
             .context("starting a director")?;
         let (boot, port) = {
             let mut s = self.lock();
-            let of = &mut s.directors[d as usize];
-            of.boot += 1;
-            of.child = Some(child);
+            let director = &mut s.directors[d as usize];
+            director.boot += 1;
+            director.child = Some(child);
             // Viewers connect once it has answered a health check.
-            of.ending = true;
-            (of.boot, of.port)
+            director.ending = true;
+            (director.boot, director.port)
         };
         viewers::wait_until_ready(port).await.with_context(|| format!("director {d} is not ready"))?;
         self.lock().directors[d as usize].ending = false;
@@ -335,9 +336,9 @@
     async fn kill_director(&self, d: u32) {
         let (child, boot) = {
             let mut s = self.lock();
-            let of = &mut s.directors[d as usize];
-            of.ending = true;
-            (of.child.take(), of.boot)
+            let director = &mut s.directors[d as usize];
+            director.ending = true;
+            (director.child.take(), director.boot)
         };
         if let Some(mut child) = child {
             self.recorder.put(What::Director { director: d, boot, event: "killed".into() });
@@ -365,8 +366,8 @@
     async fn end_director(&self, d: u32) {
         let (child, boot) = {
             let mut s = self.lock();
-            let of = &mut s.directors[d as usize];
-            (of.child.take(), of.boot)
+            let director = &mut s.directors[d as usize];
+            (director.child.take(), director.boot)
         };
         let Some(mut child) = child else { return };
         self.recorder.put(What::Director { director: d, boot, event: "ending".into() });
@@ -437,14 +438,14 @@
             s.pending_ends.iter().filter(|(_, by)| **by < now).map(|(t, _)| t.clone()).collect();
         for tag in late {
             s.pending_ends.remove(&tag);
-            let of = s.viewer_sessions.get(&tag).filter(|w| !w.left).map(|w| (w.director, w.boot));
-            if of.is_none() && s.viewer_sessions.contains_key(&tag) {
+            let waiting = s.viewer_sessions.get(&tag).filter(|w| !w.left).map(|w| (w.director, w.boot));
+            if waiting.is_none() && s.viewer_sessions.contains_key(&tag) {
                 // The viewer left first.
                 continue;
             }
             s.summary
                 .violations
-                .push(format!("session {tag} ended and its viewer was not informed in time ({of:?})"));
+                .push(format!("session {tag} ended and its viewer was not informed in time ({waiting:?})"));
         }
     }
 }
--- a/crates/kelpdoor-lab/src/platform/viewers.rs
+++ b/crates/kelpdoor-lab/src/platform/viewers.rs
@@ -136,11 +136,11 @@
         } else if how == 1 {
             let _ = stream.set_zero_linger();
         }
-        let of = self.lock().viewer_sessions.get_mut(tag).map(|w| {
+        let interrupted = self.lock().viewer_sessions.get_mut(tag).map(|w| {
             w.left = true;
             (w.director, w.boot)
         });
-        let Some((director, boot)) = of else { return };
+        let Some((director, boot)) = interrupted else { return };
         let text = json!({"type": "leave", "key": tag}).to_string();
         self.recorder.put(What::Player { player: 0, director, boot, got: false, text });
         if how == 0 {
--- a/crates/kelpdoor-lab/src/voters.rs
+++ b/crates/kelpdoor-lab/src/voters.rs
@@ -248,8 +248,8 @@
     fn voter_arguments(&self, endpoint: usize) -> String {
         let relays = &self.relays[endpoint];
         let entries = |n: usize| {
-            let all = relays.iter().enumerate().take(n).map(|(k, a)| format!("\"{k}\": \"{a}\""));
-            all.collect::<Vec<_>>().join(", ")
+            let arguments = relays.iter().enumerate().take(n).map(|(k, a)| format!("\"{k}\": \"{a}\""));
+            arguments.collect::<Vec<_>>().join(", ")
         };
         format!("voters = {{{}}}, reach = {{{}}}", entries(self.size.voters as usize), entries(relays.len()))
     }
@@ -326,24 +326,24 @@
 
 impl Proposer {
     /// Proposes the document of number `change` with the daemon's own command, over the relays of director `through`. Returns
-    /// the command's output.
+    /// the command's output, or `no answer` if it timed out.
     ///
     /// # Errors
     /// If files cannot be written or the command cannot be run.
     pub async fn propose(&mut self, change: u32, through: u32) -> Result<String> {
         let voters = self.voters.clone();
-        self.propose_list(change, through, &voters).await
+        self.propose_document(change, through, &voters).await
     }
 
     /// Proposes a document with a new voter list. If it was agreed, returns the voters that it removed.
     ///
     /// # Errors
-    /// As of [`Proposer::propose`].
+    /// The same as [`Proposer::propose`].
     pub async fn propose_voters(
         &mut self, change: u32, through: u32, voters: &[u32],
     ) -> Result<Option<Vec<u32>>> {
         let previous = self.voters.clone();
-        let response = self.propose_list(change, through, voters).await?;
+        let response = self.propose_document(change, through, voters).await?;
         if !response.starts_with("agreed ") {
             return Ok(None);
         }
@@ -351,7 +351,7 @@
         Ok(Some(previous.into_iter().filter(|v| !voters.contains(v)).collect()))
     }
 
-    async fn propose_list(&mut self, change: u32, through: u32, voters: &[u32]) -> Result<String> {
+    async fn propose_document(&mut self, change: u32, through: u32, voters: &[u32]) -> Result<String> {
         let (text, floor, without) = self.layout.document(change, voters);
         let sum = digest(&SHA256, text.as_bytes());
         let digest: String = sum.as_ref()[..8].iter().map(|b| format!("{b:02x}")).collect();
@@ -380,18 +380,20 @@
             story_floor: floor,
             without,
         });
-        let out = match timeout(Duration::from_secs(30), command.output()).await {
+        let output = match timeout(Duration::from_secs(30), command.output()).await {
             Err(_) => return Ok("no answer".to_owned()),
-            Ok(out) => out?,
+            Ok(output) => output?,
         };
-        let said = String::from_utf8_lossy(if out.status.success() { &out.stdout } else { &out.stderr });
+        let said =
+            String::from_utf8_lossy(if output.status.success() { &output.stdout } else { &output.stderr });
         let said = said.trim().to_owned();
-        let number = |version: &str| version.split('/').next().and_then(|n| n.parse::<u64>().ok());
-        if let Some(n) = said.strip_prefix("agreed ").and_then(number) {
+        let parse_number = |version: &str| version.split('/').next().and_then(|n| n.parse::<u64>().ok());
+        if let Some(n) = said.strip_prefix("agreed ").and_then(parse_number) {
             self.newest = self.newest.max(n);
         }
         // A rejected proposal learns the newest version from the error; the next proposal is based on it.
-        if let Some(n) = said.rsplit("version is ").next().filter(|_| !out.status.success()).and_then(number)
+        if let Some(n) =
+            said.rsplit("version is ").next().filter(|_| !output.status.success()).and_then(parse_number)
         {
             self.newest = self.newest.max(n);
         }
