--- a/crates/kelpdoor-lab/src/day.rs
+++ b/crates/kelpdoor-lab/src/day.rs
@@ -11,13 +11,13 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::between::{Between, Site, Way};
+use crate::fault_proxy::{Endpoint, FaultProxy, PathConditions};
 use crate::fleet::{Processes, StandIns, settings};
 use crate::player::{DesiredSession, TokenPlan, run_player};
 use crate::record::{Event, Recorder};
 use crate::schools;
 use crate::trouble::{Trouble, TroubleKind, TroubleScript};
-use crate::voting::{Agreeing, Voting};
+use crate::voters::{AgreementCluster, VoterProcesses};
 
 /// Seconds after which the keeper has freed the seats of killed directors, counted from its restart: a lease, the clock
 /// error and one run of its expiry check.
@@ -100,7 +100,7 @@
     pub stand_ins: Arc<StandIns>,
     pub processes: Arc<Mutex<Processes>>,
     pub script: Arc<TroubleScript>,
-    pub agreeing: Option<Agreeing>,
+    pub agreeing: Option<AgreementCluster>,
 }
 
 async fn sleep_seconds(seconds: f64) {
@@ -245,35 +245,35 @@
             TroubleKind::HotKey => {}
             TroubleKind::Cut | TroubleKind::Late | TroubleKind::Trickle => {
                 let set_fault = |on: bool| {
-                    let act = move |w: &mut Way| match kind {
-                        TroubleKind::Cut => w.cut = on,
-                        TroubleKind::Late => w.late = if on { t.factor } else { 0.0 },
-                        _ => w.rate = if on { t.factor } else { 0.0 },
+                    let act = move |path: &mut PathConditions| match kind {
+                        TroubleKind::Cut => path.cut = on,
+                        TroubleKind::Late => path.delay_seconds = if on { t.factor } else { 0.0 },
+                        _ => path.bytes_per_second = if on { t.factor } else { 0.0 },
                     };
-                    move |between: &Between, from, to| between.set(from, to, act)
+                    move |proxy: &FaultProxy, from, to| proxy.update_path(from, to, act)
                 };
                 self.for_each_path(t, set_fault(true)).await;
                 sleep_seconds(t.lasts).await;
                 self.for_each_path(t, set_fault(false)).await;
             }
             TroubleKind::LineReset => {
-                self.for_each_path(t, |between, from, to| between.reset(from, to)).await
+                self.for_each_path(t, |proxy, from, to| proxy.reset_connections(from, to)).await
             }
             TroubleKind::VoterRoll | TroubleKind::VoterDisk => {
                 for &v in &t.voters {
-                    self.with_voting(async |voting| {
-                        voting.kill(v).await;
-                        if kind == TroubleKind::VoterDisk { voting.lose_disk(v) } else { Ok(()) }
+                    self.with_voting(async |voters| {
+                        voters.kill(v).await;
+                        if kind == TroubleKind::VoterDisk { voters.erase_disk(v) } else { Ok(()) }
                     })
                     .await;
                     sleep_seconds(t.notice).await;
-                    self.with_voting(async |voting| voting.again(v).await).await;
+                    self.with_voting(async |voters| voters.start_voter(v).await).await;
                 }
             }
             TroubleKind::VoterStall => {
                 for on in [true, false] {
-                    self.with_voting(async |voting| {
-                        t.voters.iter().for_each(|&v| voting.stall(v, on));
+                    self.with_voting(async |voters| {
+                        t.voters.iter().for_each(|&v| voters.set_stalled(v, on));
                         Ok(())
                     })
                     .await;
@@ -282,13 +282,13 @@
             }
             TroubleKind::VoterFull => {
                 for &v in &t.voters {
-                    self.with_voting(async |voting| voting.full_disk(v, true)).await;
+                    self.with_voting(async |voters| voters.set_disk_full(v, true)).await;
                     sleep_seconds(t.lasts).await;
-                    self.with_voting(async |voting| {
+                    self.with_voting(async |voters| {
                         // The voter has ended by itself if it tried to write.
-                        voting.full_disk(v, false)?;
-                        voting.kill(v).await;
-                        voting.again(v).await
+                        voters.set_disk_full(v, false)?;
+                        voters.kill(v).await;
+                        voters.start_voter(v).await
                     })
                     .await;
                 }
@@ -305,7 +305,7 @@
                 let far = if t.way == "back" { -t.factor } else { t.factor };
                 for off in [far, 0.0] {
                     for &d in &t.directors {
-                        if let Err(e) = agreeing.step_wall(d, off) {
+                        if let Err(e) = agreeing.step_wall_clock(d, off) {
                             tracing::error!(%e, "failed to step a director's wall clock");
                         }
                     }
@@ -315,12 +315,12 @@
             TroubleKind::VoterList => {
                 let through = t.directors.first().copied().unwrap_or(0);
                 let Some(agreeing) = &self.agreeing else { return };
-                self.with_voting(async |voting| voting.all_up(&t.voters).await).await;
+                self.with_voting(async |voters| voters.start_stopped(&t.voters).await).await;
                 // The proposal is refused until the joining voters are known, so it is tried again as an operator would.
                 let mut off = Ok(None);
                 for _ in 0..8 {
                     sleep_seconds(0.3).await;
-                    off = agreeing.proposer.lock().await.hand_over(t.change, through, &t.voters).await;
+                    off = agreeing.proposer.lock().await.propose_voters(t.change, through, &t.voters).await;
                     if !matches!(off, Ok(None)) {
                         break;
                     }
@@ -329,10 +329,10 @@
                     Err(e) => tracing::error!(%e, "failed to propose a list of voters"),
                     Ok(None) => {}
                     Ok(Some(off)) => {
-                        self.with_voting(async |voting| voting.now_listed(&t.voters).await).await;
+                        self.with_voting(async |voters| voters.set_listed(&t.voters).await).await;
                         sleep_seconds(t.notice).await;
-                        self.with_voting(async |voting| {
-                            voting.end_off(&off).await;
+                        self.with_voting(async |voters| {
+                            voters.stop_unlisted(&off).await;
                             Ok(())
                         })
                         .await;
@@ -362,35 +362,38 @@
     }
 
     /// Runs `act` on the voters, if the day has any, and logs its error.
-    async fn with_voting(&self, act: impl AsyncFnOnce(&mut Voting) -> Result<()>) {
+    async fn with_voting(&self, act: impl AsyncFnOnce(&mut VoterProcesses) -> Result<()>) {
         let Some(agreeing) = &self.agreeing else { return };
-        if let Err(e) = act(&mut *agreeing.voting.lock().await).await {
+        if let Err(e) = act(&mut *agreeing.voters.lock().await).await {
             tracing::error!(%e, "failed to control a voter");
         }
     }
 
     /// Calls `act` for each direction of each path that a trouble names: between its directors and its voters, or, if it
     /// names no director, between its voters and all other voters.
-    async fn for_each_path(&self, t: &Trouble, act: impl Fn(&Between, Site, Site)) {
-        let Some(Agreeing { between, .. }) = &self.agreeing else { return };
-        let near: Vec<Site> = if t.directors.is_empty() {
-            t.voters.iter().map(|&v| Site::Voter(v)).collect()
+    async fn for_each_path(&self, t: &Trouble, act: impl Fn(&FaultProxy, Endpoint, Endpoint)) {
+        let Some(AgreementCluster { proxy, .. }) = &self.agreeing else { return };
+        let near: Vec<Endpoint> = if t.directors.is_empty() {
+            t.voters.iter().map(|&v| Endpoint::Voter(v)).collect()
         } else {
-            t.directors.iter().map(|&d| Site::Director(d)).collect()
+            t.directors.iter().map(|&d| Endpoint::Director(d)).collect()
         };
-        let far: Vec<Site> = if t.directors.is_empty() {
+        let far: Vec<Endpoint> = if t.directors.is_empty() {
             let size = &self.script.size;
-            (0..size.voters + size.spare_voters).filter(|v| !t.voters.contains(v)).map(Site::Voter).collect()
+            (0..size.voters + size.spare_voters)
+                .filter(|v| !t.voters.contains(v))
+                .map(Endpoint::Voter)
+                .collect()
         } else {
-            t.voters.iter().map(|&v| Site::Voter(v)).collect()
+            t.voters.iter().map(|&v| Endpoint::Voter(v)).collect()
         };
         for &one in &near {
             for &other in &far {
                 if t.way != "back" {
-                    act(between, one, other);
+                    act(proxy, one, other);
                 }
                 if t.way != "there" {
-                    act(between, other, one);
+                    act(proxy, other, one);
                 }
             }
         }
--- a/crates/kelpdoor-lab/src/fleet.rs
+++ b/crates/kelpdoor-lab/src/fleet.rs
@@ -19,7 +19,7 @@
 use crate::roster::Roster;
 use crate::schools::{self, KeeperProcess, TokenIssuer};
 use crate::trouble::DaySettings;
-use crate::voting::Agreeing;
+use crate::voters::AgreementCluster;
 
 /// Rate of a node's link for each unit of its size, kB/s.
 const LINK_UNIT: f64 = 2600.0;
@@ -192,7 +192,7 @@
     pub keeper: Option<KeeperProcess>,
     pub token_issuer: Option<std::sync::Arc<TokenIssuer>>,
     /// Present if the day has voters.
-    pub agreeing: Option<Agreeing>,
+    pub agreeing: Option<AgreementCluster>,
 }
 
 impl Processes {
@@ -249,7 +249,8 @@
         }
         let shared = self.fill_placeholders(self.shared.clone());
         let recorder = self.recorder.clone();
-        let agreeing = Agreeing::start(&self.program, &self.dir, &self.size, &shared, recorder).await?;
+        let agreeing =
+            AgreementCluster::start(&self.program, &self.dir, &self.size, &shared, recorder).await?;
         let said = agreeing.proposer.lock().await.propose(0, 0).await?;
         if !said.starts_with("agreed 1/") {
             bail!("the first document was not agreed on: {said}");
--- a/crates/kelpdoor-lab/src/lib.rs
+++ b/crates/kelpdoor-lab/src/lib.rs
@@ -1,13 +1,13 @@
 //! The test lab: stand-ins for nodes, roster and players, trouble scripts, the record of all messages, and the checker of
 //! the rules. The daemon does not depend on it.
 
-pub mod agreed;
-pub mod between;
+pub mod agreement_check;
 pub mod chaos;
 pub mod check;
 pub mod daemon;
 pub mod day;
 pub mod drawn_day;
+pub mod fault_proxy;
 pub mod fleet;
 pub mod fluid;
 pub mod load;
@@ -20,4 +20,4 @@
 pub mod scale;
 pub mod schools;
 pub mod trouble;
-pub mod voting;
+pub mod voters;
--- a/crates/kelpdoor-lab/src/main.rs
+++ b/crates/kelpdoor-lab/src/main.rs
@@ -10,8 +10,8 @@
 use comfy_table::Table;
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
-use kelpdoor_lab::agreed::{Judged, judge};
-use kelpdoor_lab::chaos::{self, Scale};
+use kelpdoor_lab::agreement_check::{AgreementVerdict, check_agreement};
+use kelpdoor_lab::chaos::{self, ScheduleSize};
 use kelpdoor_lab::check::{Verdict, check};
 use kelpdoor_lab::day::{self, TroubleRunner};
 use kelpdoor_lab::fleet::{ODD_SETTINGS, Processes, StandIns, settings};
@@ -235,14 +235,14 @@
     print_verdict(&verdict);
     let mut agreed = true;
     if script.size.voters > 0 {
-        let judged = judge(&lines, script.size.contradiction);
+        let judged = check_agreement(&lines, script.size.contradiction);
         print_agreement(&judged);
         judged
-            .broken
+            .violations
             .iter()
             .take(20)
             .for_each(|(n, what)| println!("agreement broken, line {n} of the record: {what}"));
-        agreed = judged.broken.is_empty();
+        agreed = judged.violations.is_empty();
     }
     if !result.exited_cleanly {
         println!("a director did not exit cleanly; its log is in {}", dir.display());
@@ -250,17 +250,17 @@
     Ok(verdict.violations.is_empty() && agreed && result.exited_cleanly)
 }
 
-fn print_agreement(j: &Judged) {
+fn print_agreement(j: &AgreementVerdict) {
     println!(
         "{} versions, {} acknowledged; {} SETUPs, {} of them with an older version beside, {} after the last trouble; \
          older alone for {:.2} s, mixed for {:.2} s at most",
-        j.versions, j.acknowledged, j.setups, j.beside, j.calm_setups, j.alone, j.mixed
+        j.versions, j.acknowledged, j.setups, j.merged_setups, j.calm_setups, j.max_older_alone, j.max_mixed
     );
 }
 
 /// Runs schedules, up to `at_once` at a time. Returns whether all passed.
 async fn chaos(
-    seeds: std::ops::Range<u64>, scale: Scale, at_once: usize, keep: Option<PathBuf>,
+    seeds: std::ops::Range<u64>, scale: ScheduleSize, at_once: usize, keep: Option<PathBuf>,
 ) -> Result<bool> {
     let temporary = tempfile::tempdir()?;
     let dir = keep.unwrap_or_else(|| temporary.path().to_owned());
@@ -271,8 +271,8 @@
         let (permits, program, dir) = (permits.clone(), program.clone(), dir.join(seed.to_string()));
         plays.spawn(async move {
             let _permit = permits.acquire_owned().await;
-            let script = chaos::read(&chaos::schedule(seed, scale))?;
-            anyhow::Ok((seed, dir.clone(), chaos::play(&script, &program, &dir).await?))
+            let script = chaos::parse_schedule(&chaos::schedule(seed, scale))?;
+            anyhow::Ok((seed, dir.clone(), chaos::run(&script, &program, &dir).await?))
         });
     }
     let mut passed = 0;
@@ -284,14 +284,14 @@
             "seed {seed}: {} playing, {} busy, {} failed; ",
             played.rules.playing, played.rules.busy, played.rules.failed
         );
-        print_agreement(&played.agreed);
-        alone = alone.max(played.agreed.alone);
-        mixed = mixed.max(played.agreed.mixed);
-        taken.extend(played.agreed.taken_after.iter().copied());
-        if played.good() {
+        print_agreement(&played.agreement);
+        alone = alone.max(played.agreement.max_older_alone);
+        mixed = mixed.max(played.agreement.max_mixed);
+        taken.extend(played.agreement.adoption_delays.iter().copied());
+        if played.passed() {
             passed += 1;
         } else {
-            played.broken().iter().take(10).for_each(|b| println!("  {b}"));
+            played.violations().iter().take(10).for_each(|b| println!("  {b}"));
             bad.push((seed, dir));
         }
     }
@@ -308,10 +308,10 @@
     );
     bad.sort();
     if let Some((seed, dir)) = bad.first()
-        && scale.shorten > 0
+        && scale.max_reruns > 0
     {
         println!("seed {seed}, shortened:");
-        let lines = chaos::shorten(chaos::schedule(*seed, scale), &program, dir, scale.shorten).await?;
+        let lines = chaos::shorten(chaos::schedule(*seed, scale), &program, dir, scale.max_reruns).await?;
         lines.iter().for_each(|l| println!("{l}"));
     }
     Ok(bad.is_empty())
@@ -416,7 +416,7 @@
             let (seconds, shorten) = if short { (26.0, 0) } else { (50.0, 12) };
             anyhow::ensure!((1..=20).contains(&directors), "1 to 20 directors");
             anyhow::ensure!(matches!(voters, 3 | 5), "three or five voters");
-            let scale = Scale { directors, voters, seconds, shorten };
+            let scale = ScheduleSize { directors, voters, seconds, max_reruns: shorten };
             if print {
                 chaos::schedule(seed, scale).iter().for_each(|l| println!("{l}"));
                 return Ok(true);
