--- a/crates/kelpdoor-director/src/core.rs
+++ b/crates/kelpdoor-director/src/core.rs
@@ -30,7 +30,7 @@
 use crate::session::{Attempt, Session, Stage};
 use crate::timers::{Timer, Timers};
 
-/// Maximum number of outstanding requests to one node. A node that exceeds it is taken for dead.
+/// Maximum number of outstanding requests to one node. A node that reaches it counts as dead and its link is closed.
 const MAX_OUTSTANDING_REQUESTS: usize = 50_000;
 /// Maximum number of answers remembered for retries, as a multiple of the session limit.
 const REMEMBERED_PER_SESSION: usize = 2;
@@ -45,7 +45,7 @@
 /// A longer gap between rounds means that this process was paused, in seconds.
 const PAUSE_THRESHOLD: f64 = 0.5;
 
-/// Numbers of what the core holds at the moment.
+/// Current numbers of sessions, timers, requests and links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Sessions whose final answer is pending.
@@ -690,6 +690,8 @@
         }
     }
 
+    /// Reports the end of a SETUP or session at a node to the placement logic. `closed`: the session is over and needs no
+    /// other node.
     fn report_ended(&mut self, id: u64, node: u32, outcome: SetupOutcome, closed: bool, load: LoadReport) {
         self.log_line(Some(id), format!("at node {node}: {outcome:?}"));
         self.round.ended.push(Ended { sess: SessId(id), node: NodeId(node), outcome, closed, load });
