--- a/crates/kelpdoor-director/src/core.rs
+++ b/crates/kelpdoor-director/src/core.rs
@@ -690,8 +690,8 @@
         }
     }
 
-    /// Reports the end of a SETUP or session at a node to the placement logic. `closed`: the session is over and needs no
-    /// other node.
+    /// Reports the end of a SETUP or session at a node to the placement logic. `closed`: the viewer
+    /// needs no further answer.
     fn report_ended(&mut self, id: u64, node: u32, outcome: SetupOutcome, closed: bool, load: LoadReport) {
         self.log_line(Some(id), format!("at node {node}: {outcome:?}"));
         self.round.ended.push(Ended { sess: SessId(id), node: NodeId(node), outcome, closed, load });
