--- a/crates/kelpdoor-director/src/core.rs
+++ b/crates/kelpdoor-director/src/core.rs
@@ -110,6 +110,21 @@
     LoadReport { streams: load.streams, link: load.link, uplink: load.uplink }
 }
 
+/// The label of an outcome in log effects. Journals contain these effects and a replay compares them, so a label stays as it
+/// is when its variant is renamed.
+fn outcome_label(outcome: SetupOutcome) -> &'static str {
+    match outcome {
+        SetupOutcome::Served => "Served",
+        SetupOutcome::Failed => "Erred",
+        SetupOutcome::BusyReplied => "BusyReplied",
+        SetupOutcome::TimedOut => "TimedOut",
+        SetupOutcome::Unreachable => "Unreachable",
+        SetupOutcome::ConnectionLost => "Broken",
+        SetupOutcome::Withdrawn => "Withdrawn",
+        SetupOutcome::NeverSent => "Moot",
+    }
+}
+
 impl DirectorCore {
     /// Creates a core. `seed` seeds all random draws; `now` is in seconds since 1970.
     pub fn new(deployment: &Deployment, seed: u64, now: f64) -> Self {
@@ -269,7 +284,7 @@
                 None => self.send_error(sock, &key, ErrorCode::UnknownKey, "no session has this key"),
             },
             FromPlayer::Renew { key, .. } => {
-                self.send_error(sock, &key, ErrorCode::TokenMissing, "this director does not accept tokens");
+                self.send_error(sock, &key, ErrorCode::TokenMissing, "no token is asked for here");
             }
             FromPlayer::Start { key, group, title, best_rung, setup_timeout, token: _ } => {
                 let group_index = self.deployment.groups.iter().position(|g| g.name == group);
@@ -278,7 +293,7 @@
                         sock,
                         &key,
                         ErrorCode::UnknownGroup,
-                        format!("unknown group {group:?}"),
+                        format!("no group {group:?}"),
                     );
                 };
                 if let Some(&id) = self.sess_by_key.get(&key) {
@@ -334,11 +349,11 @@
         setup_timeout: f64, delay: f64, entitlement: Option<Entitlement>,
     ) {
         let Some(location) = self.title_location(&title) else {
-            return self.send_error(sock, &key, ErrorCode::UnknownTitle, format!("unknown title {title:?}"));
+            return self.send_error(sock, &key, ErrorCode::UnknownTitle, format!("no title {title:?}"));
         };
         let group = &self.deployment.groups[group_index];
         if best_rung < group.floor {
-            let message = format!("the lowest rung of the group is {}", group.floor);
+            let message = format!("the group plays at rung {} at least", group.floor);
             return self.send_error(sock, &key, ErrorCode::RungTooLow, message);
         }
         let come_back = self.deployment.director.come_back;
@@ -421,7 +436,7 @@
     /// Answers `busy` to a session whose SETUP must not be sent because the lease has expired.
     fn reject_without_lease(&mut self, id: u64) {
         let come_back = self.deployment.director.come_back;
-        self.log_line(Some(id), "no lease on the rules; SETUP not sent");
+        self.log_line(Some(id), "no lease on the rules: not set up");
         self.abandon_setup(id, SetupOutcome::NeverSent, true);
         self.send_final(id, |key| ToPlayer::Busy { key, come_back });
         self.finish(id);
@@ -693,7 +708,7 @@
     /// Reports the end of a SETUP or session at a node to the placement logic. `closed`: the viewer
     /// needs no further answer.
     fn report_ended(&mut self, id: u64, node: u32, outcome: SetupOutcome, closed: bool, load: LoadReport) {
-        self.log_line(Some(id), format!("at node {node}: {outcome:?}"));
+        self.log_line(Some(id), format!("at node {node}: {}", outcome_label(outcome)));
         self.round.ended.push(Ended { sess: SessId(id), node: NodeId(node), outcome, closed, load });
     }
 
@@ -791,8 +806,7 @@
     fn handle_response(&mut self, node: u32, response: Response) {
         let Some(purpose) = self.links.get_mut(&node).and_then(|l| l.outstanding.remove(&response.cseq))
         else {
-            return self
-                .log_line(None, format!("node {node}: response to unknown request, CSeq {}", response.cseq));
+            return self.log_line(None, format!("node {node}: an answer to nothing, CSeq {}", response.cseq));
         };
         let load = load_report(&response.headers);
         match purpose {
@@ -1005,7 +1019,7 @@
                 self.finish(id);
             }
             other => {
-                let text = format!("node {node}: unknown notify reason {other:?}");
+                let text = format!("node {node}: notice {other:?} is not known");
                 self.log_line(Some(id), text);
             }
         }
@@ -1046,7 +1060,7 @@
         if !changed.is_empty() {
             let names: Vec<String> =
                 changed.iter().map(|node| format!("{} {:?}", node.node.0, node.phase)).collect();
-            self.log_line(None, format!("changed by the agreed node list: {}", names.join(", ")));
+            self.log_line(None, format!("the agreed list: {}", names.join(", ")));
             self.round.list_changes.push(ListChange::Changed(changed));
             self.update_links();
         }
@@ -1073,7 +1087,7 @@
         let (nodes, titles): (Vec<_>, Vec<_>) =
             (list.nodes.values().cloned().collect(), list.titles.values().cloned().collect());
         if let Err(e) = crate::roster::check(&nodes, &titles, &self.deployment.fleet) {
-            return self.log_line(None, format!("cached roster list not used: {e}"));
+            return self.log_line(None, format!("the kept list is not used: {e}"));
         }
         let listed = nodes.iter().map(|n| self.listed_node(n)).collect();
         self.roster = list;
@@ -1084,7 +1098,7 @@
     fn handle_roster(&mut self, message: RosterMessage) {
         let fleet = self.deployment.fleet.clone();
         if let Err(e) = self.roster.apply(&message, &fleet) {
-            self.log_line(None, format!("roster: {e}; keeping the last valid list"));
+            self.log_line(None, format!("roster: {e}; the last good list stands"));
             if matches!(message, RosterMessage::Change { .. }) {
                 // The list now lacks this change, so the core requests a complete list.
                 self.effects.push(Effect::RequestRoster(RosterRequest::Whole));
@@ -1109,7 +1123,7 @@
         if !differing.is_empty() {
             self.log_line(
                 None,
-                format!("nodes differ from the agreed list, no new sessions there: {differing}"),
+                format!("not as the agreed list has them, nothing new goes there: {differing}"),
             );
         }
         self.update_links();
@@ -1187,9 +1201,8 @@
                     Some(false) => {
                         // The placement logic left it without an outstanding SETUP. That is a fault, but the
                         // request must be answered all the same.
-                        self.effects.push(Effect::Fault(format!(
-                            "session {sess} has neither an outstanding SETUP nor an answer at its deadline"
-                        )));
+                        self.effects
+                            .push(Effect::Fault(format!("session {sess} was left without an answer")));
                         self.round.departures.push(SessId(sess));
                         self.send_final(sess, |key| ToPlayer::Failed { key, why: FailureReason::NoAnswer });
                         self.finish(sess);
@@ -1245,7 +1258,9 @@
             Timer::TooManyOutstanding { node, link } => {
                 self.log_line(
                     None,
-                    format!("node {node}: {MAX_OUTSTANDING_REQUESTS} requests without a response; closing its link"),
+                    format!(
+                        "node {node}: {MAX_OUTSTANDING_REQUESTS} requests without an answer, closing its link"
+                    ),
                 );
                 self.close_link(node, link, true);
             }
@@ -1272,10 +1287,7 @@
         };
         let silence = now - link.last_received_at;
         if (!link.sessions.is_empty() || !link.outstanding.is_empty()) && silence > dead_after {
-            self.log_line(
-                None,
-                format!("node {node}: nothing received for {silence:.1} s; closing its link"),
-            );
+            self.log_line(None, format!("node {node}: nothing heard for {silence:.1} s, closing its link"));
             return self.close_link(node, number, true);
         }
         if silence > quiet && now - link.last_probe_at > quiet {
@@ -1350,9 +1362,9 @@
         let can_start = |session: &&mut Session| session.stage == Stage::Pending && session.attempt.is_none();
         let Some(session) = self.sessions.get_mut(&id).filter(can_start) else {
             // A session never has two outstanding SETUPs, whatever the placement logic orders.
-            return self.effects.push(Effect::Fault(format!(
-                "SETUP ordered for session {id}, which is not pending or already has one"
-            )));
+            return self
+                .effects
+                .push(Effect::Fault(format!("a SETUP was ordered for session {id} out of turn")));
         };
         let number = session.setup_count;
         session.setup_count = session.setup_count.saturating_add(1);
@@ -1444,7 +1456,7 @@
     }
 
     fn send_message(&mut self, _director: Option<u16>, _message: &[u8]) {
-        self.log_line(None, "messages between directors are not supported");
+        self.log_line(None, "directors do not talk to each other here");
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/kelpdoor-director/src/core/seats.rs
+++ b/crates/kelpdoor-director/src/core/seats.rs
@@ -93,7 +93,7 @@
                 return self.send_error(sock, key, ErrorCode::TooFast, "too many tokens a second");
             }
             TokenCheck::Missing => {
-                return self.send_error(sock, key, ErrorCode::TokenMissing, "the message has no token");
+                return self.send_error(sock, key, ErrorCode::TokenMissing, "no token came");
             }
         };
         self.tick_holder();
--- a/crates/kelpdoor-director/src/effect.rs
+++ b/crates/kelpdoor-director/src/effect.rs
@@ -141,7 +141,7 @@
     /// Send a request to the seat keeper. It is dropped if the keeper is unreachable; the core retries it.
     Keeper(KeeperRequest),
     SaveList(Box<RosterList>),
-    /// Write a log line.
+    /// Write a log line. Journals contain its text and a replay compares it, so texts of the core stay as they are.
     #[serde(rename = "Note")]
     Log {
         sess: Option<u64>,
--- a/crates/kelpdoor-director/src/roster.rs
+++ b/crates/kelpdoor-director/src/roster.rs
@@ -73,23 +73,23 @@
 /// The reason why a list or a change is refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RosterError {
-    #[error("{0} nodes or titles, more than the limit")]
+    #[error("{0} nodes or titles are more than are taken")]
     TooMany(usize),
     #[error("node {0}: zone {1:?} is not in the settings")]
     UnknownZone(u32, String),
     #[error("node {0}: kind {1:?} is not in the settings")]
     UnknownKind(u32, String),
-    #[error("node {0}: cell {1} is out of range, there are {2} cells")]
+    #[error("node {0}: cell {1} of {2}")]
     CellOutOfRange(u32, u16, u16),
-    #[error("node {0}: size and up_since must be finite and at least 0")]
+    #[error("node {0}: size and up_since have to be numbers of at least 0")]
     InvalidNumber(u32),
-    #[error("node {0} is listed twice")]
+    #[error("node {0} is named twice")]
     DuplicateNode(u32),
-    #[error("title {0:?}: must have 1 to 128 letters, digits and . _ ~ -")]
+    #[error("title {0:?}: letters, digits and . _ ~ - are asked for, 1 to 128")]
     InvalidTitleName(String),
-    #[error("title {0:?}: {1} cells from cell {2} do not fit the {3} cells of the fleet")]
+    #[error("title {0:?}: cells {1} from {2} of {3}")]
     TitleCellsOutOfRange(String, u16, u16, u16),
-    #[error("version {0} is not newer than {1}")]
+    #[error("version {0} after {1}")]
     StaleVersion(u64, u64),
 }
 
--- a/crates/kelpdoor-director/tests/story.rs
+++ b/crates/kelpdoor-director/tests/story.rs
@@ -275,7 +275,7 @@
     node.zone = "north".into();
     let bad = RosterMessage::Whole { version: 9, nodes: vec![node], titles: Vec::new() };
     let effects = harness.input(Input::Roster(bad));
-    expect![[r#"[Log { sess: None, text: "roster: node 3: zone \"north\" is not in the settings; keeping the last valid list" }]"#]].assert_eq(&format!("{effects:?}"));
+    expect![[r#"[Log { sess: None, text: "roster: node 3: zone \"north\" is not in the settings; the last good list stands" }]"#]].assert_eq(&format!("{effects:?}"));
     assert!(harness.start(1, "key-00001", "any", "t0").iter().any(|e| matches!(e, Effect::Node { .. })));
 }
 
