--- a/crates/kelpdoor-lab/scripts/agreement-day.star
+++ b/crates/kelpdoor-lab/scripts/agreement-day.star
@@ -1,5 +1,5 @@
-# Five directors and three voters: rules change while a director is cut off, one hears nothing back, a voter stands still, one
-# is killed, and one loses its disk.
+# Five directors and three voters: rules change while one director is cut off, another receives no answers, a voter is paused,
+# another is killed, and another loses its disk.
 day(seconds = 28, directors = 5, voters = 3, nodes = 10, racks = 2, zones = ["east", "west"], players = 500, class_of = 10,
     class_at = 6, watch = 4, roster_lag = 0.5, seed = 3, clocks_apart = True)
 
--- a/crates/kelpdoor-lab/scripts/late-answers.star
+++ b/crates/kelpdoor-lab/scripts/late-answers.star
@@ -1,5 +1,5 @@
-# Answers of all voters come to one director nearly a lease late, and to another none come at all, while rules change again and
-# again: a lease counted from the answer, or from the question alone, would act on the old version beside the new one.
+# The answers of all voters reach one director nearly a lease late, and another receives none, while rules change repeatedly. A
+# director that counted its lease from the answer, or from the request alone, would act on the old version beside the new one.
 day(seconds = 30, directors = 3, voters = 3, nodes = 10, racks = 2, zones = ["east", "west"], players = 700, class_of = 10,
     class_at = 6, watch = 3, roster_lag = 0.5, seed = 5, clocks_apart = True)
 
--- a/crates/kelpdoor-lab/scripts/seats-day.star
+++ b/crates/kelpdoor-lab/scripts/seats-day.star
@@ -1,5 +1,5 @@
-# A thousand token lifetimes over three directors: restarts of all of them and of the keeper, duplicate retries, a key
-# that changes. Nothing else goes wrong.
+# A thousand token lifetimes over three directors: restarts of all of them and of the keeper, duplicate retries, and
+# a change of the signing key. No other faults.
 day(seconds = 75, directors = 3, nodes = 16, racks = 4, zones = ["east", "west"], players = 0, class_of = 0, watch = 4,
     roster_lag = 0.5, seed = 7, schools = 4, seats = 16, tickets = 1000, token_lasts = 4)
 
--- a/crates/kelpdoor-lab/scripts/short-day.star
+++ b/crates/kelpdoor-lab/scripts/short-day.star
@@ -1,4 +1,4 @@
-# A short bad day: the same kinds of trouble, less of each.
+# A short bad day: the same kinds of trouble, fewer of each.
 day(seconds = 16, directors = 2, nodes = 8, racks = 2, zones = ["east", "west"], players = 60, class_of = 15,
     class_at = 3, watch = 6, roster_lag = 0.5, seed = 2, schools = 1, seats = 5, tickets = 30, token_lasts = 3)
 
--- a/crates/kelpdoor-lab/scripts/voters-day.star
+++ b/crates/kelpdoor-lab/scripts/voters-day.star
@@ -1,5 +1,5 @@
-# Three voters become five, of which two founders fall away; then three again, and one in another's place, until none of those
-# who founded the fleet is left. A director is cut off over a change, one starts again with settings that name founders alone.
+# Three voters become five; two founders leave, so three remain, and then the last founder is replaced: no voter that founded
+# the fleet is left. A director is cut off during a change; another restarts with settings that name only the founders.
 day(seconds = 28, directors = 5, voters = 3, spare_voters = 3, nodes = 10, racks = 2, zones = ["east", "west"], players = 500,
     class_of = 10, class_at = 6, watch = 4, roster_lag = 0.5, seed = 5, clocks_apart = True)
 
