--- a/crates/kelpdoor-keeper/src/voter_connections.rs
+++ b/crates/kelpdoor-keeper/src/voter_connections.rs
@@ -84,17 +84,17 @@
         closed
     }
 
-    /// Voters that a connection is kept to, whether or not it is up.
+    /// Voters to which a connection is maintained, whether or not it is up.
     pub fn voters(&self) -> impl Iterator<Item = VoterId> + use<'_> {
         self.connections.keys().copied()
     }
 
-    /// Whether a connection is kept to `voter`, whether or not it is up.
+    /// Whether a connection to `voter` is maintained, even if it is currently down.
     pub fn has(&self, voter: VoterId) -> bool {
         self.connections.contains_key(&voter)
     }
 
-    /// Queues a request. Drops it if no connection is kept to the voter or its queue is full: the caller repeats it.
+    /// Queues a request. Drops it if no connection to the voter is maintained or its queue is full: the caller repeats it.
     pub fn send(&self, voter: VoterId, request: ClientRequest) {
         if let Some(connection) = self.connections.get(&voter) {
             let _ = connection.requests.try_send(request);
--- a/crates/kelpdoor-platform/src/core.rs
+++ b/crates/kelpdoor-platform/src/core.rs
@@ -401,7 +401,7 @@
         self.state.effects.drain(..).for_each(emit);
     }
 
-    /// Refuses set-ups from now on with a busy reply that tells when to come back.
+    /// Refuses set-ups from now on with a busy reply that states when to retry.
     pub fn refuse_setups(&mut self) {
         self.state.refusing_setups = true;
     }
@@ -570,8 +570,8 @@
         self.close_when_idle(conn);
     }
 
-    /// A held session id arrives again in a different request. On the same connection the two cannot be told
-    /// apart, so the set-up fails. A session that arrived on another connection is not affected; only the
+    /// A held session id arrives again in a different request. On the same connection the two cannot be
+    /// distinguished, so the set-up fails. A session that arrived on another connection is not affected; only the
     /// connection of the second request is closed.
     fn reject_duplicate_id(&mut self, conn: u64, sess: SessId) {
         let Some(s) = self.sessions.get(&sess) else { return };
@@ -838,7 +838,7 @@
         self.round.ended.push(Ended { sess, node, outcome, closed: true, load });
     }
 
-    /// Ends a SETUP that did not become a session; the session logic is told the outcome and decides what
+    /// Ends a SETUP that did not become a session; the session logic receives the outcome and decides what
     /// follows.
     fn finish_setup(&mut self, sess: SessId, outcome: SetupOutcome, load: LoadReport) {
         let Some(s) = self.sessions.get_mut(&sess) else { return };
@@ -897,7 +897,7 @@
         self.effects.push(Effect::CloseLink { link, immediate });
     }
 
-    /// Cancels a SETUP: the node is told, and a late answer will be released.
+    /// Cancels a SETUP: notifies the node; a session that a late answer reports will be released.
     fn cancel_setup(&mut self, sess: SessId, outcome: SetupOutcome) {
         let Some(s) = self.sessions.get(&sess) else { return };
         let (stage, node, link, sent) = (s.stage, s.node, s.link, s.setup_sent_at);
@@ -1538,7 +1538,7 @@
         self.remove_session(sess);
     }
 
-    /// Tells the viewer to come back; the node ends the session and reports it.
+    /// Asks the viewer to start a new session and the node to end this one; the node reports the end.
     fn shift(&mut self, sess: SessId) {
         let Some(s) = self.sessions.get(&sess).filter(|s| s.stage == Stage::Active) else { return };
         let (node, conn) = (s.node, s.conn);
--- a/crates/kelpdoor-platform/src/liveness.rs
+++ b/crates/kelpdoor-platform/src/liveness.rs
@@ -15,7 +15,7 @@
 pub const RELEASE_RETRY_INTERVAL: f64 = 2.0;
 /// s; failures further apart are separate: nothing was attempted in between, or this process was paused.
 const MAX_FAILURE_GAP: f64 = 2.5;
-/// s; after failing for this long the node's sessions count as ended. Viewers have to be told within 8 s of
+/// s; after failing for this long the node's sessions count as ended. Viewers must be notified within 8 s of
 /// the end, of which QUIET_TIMEOUT and a connect timeout have passed before. A node that is cut off for
 /// longer loses its sessions though it runs.
 const GIVE_UP_AFTER: f64 = 3.5;
--- a/crates/kelpdoor-platform/src/media.rs
+++ b/crates/kelpdoor-platform/src/media.rs
@@ -166,7 +166,7 @@
     encode(request(Method::SetParameter, sess, 4).with("X-Quality", rung))
 }
 
-/// Asks the node to end a session whose viewer is told to come back.
+/// Asks the node to end a session whose viewer is asked to start a new one.
 pub fn redirect(sess: SessId) -> Vec<u8> {
     encode(request(Method::Redirect, sess, 5))
 }
--- a/crates/kelpdoor-platform/src/shell.rs
+++ b/crates/kelpdoor-platform/src/shell.rs
@@ -704,7 +704,7 @@
         closed_at.elapsed() >= SHUTDOWN_QUIET_TIME
     }
 
-    /// Lets readers pass on all that lies in the sockets, before a round that may send something or end the
+    /// Lets readers pass on all input available in the sockets, before a round that may send something or end the
     /// process. Thus the core knows whether a viewer is still connected before it acts for it, and no input
     /// that was read is lost at the exit.
     async fn read_available(
--- a/crates/kelpdoor-platform/src/viewer.rs
+++ b/crates/kelpdoor-platform/src/viewer.rs
@@ -196,7 +196,7 @@
 pub enum Reply<'a> {
     /// The session is active, with the description from its node.
     Started(&'a str),
-    /// The request was refused or failed, or the session ended, as `cause` tells; the viewer may come back
+    /// The request was refused or failed, or the session ended, as `cause` states; the viewer may retry
     /// after `wait` seconds.
     Finish { cause: u32, wait: Option<f64> },
     /// Answers an echo request.
