--- a/crates/kelpdoor-lab/src/check.rs
+++ b/crates/kelpdoor-lab/src/check.rs
@@ -19,11 +19,11 @@
 const LATE_SETUP_AFTER: f64 = 0.1;
 /// Late SETUPs are violations from this one on; fewer can be chance.
 const MIN_LATE_SETUPS: usize = 3;
-/// Longest time in seconds that a roster line takes from the stand-in to the director.
+/// Maximum time in seconds that a roster message takes from the stand-in to the director.
 const ROSTER_DELIVERY_TIME: f64 = 0.1;
 
-/// Seconds within which a director learns that a seat moved to another one. The keeper tells it at once, and again at
-/// each heartbeat of that director.
+/// Seconds within which a director learns that a seat moved to another one. The keeper notifies it at once, and again
+/// at each heartbeat of that director.
 const SEAT_MOVE_NOTICE_TIME: f64 = 4.0;
 
 /// One violation of a rule.
@@ -260,7 +260,7 @@
     setup_by_session: BTreeMap<(u32, String), usize>,
     starts: Vec<Start>,
     start_by_key: BTreeMap<(Run, String), usize>,
-    /// When a director was first told of a node's present phase, and that phase, by director and node.
+    /// When a director was first notified of a node's current phase, and that phase, by director and node.
     roster_phases: BTreeMap<(u32, u32), (f64, String)>,
     listed_nodes: BTreeMap<u32, BTreeSet<u32>>,
     node_processes: BTreeMap<u32, NodeProcess>,
--- a/crates/kelpdoor-lab/src/day.rs
+++ b/crates/kelpdoor-lab/src/day.rs
@@ -75,7 +75,7 @@
         let title = if t.title.is_empty() { "title-11" } else { &t.title };
         crowd(t.at, t.players, title, &mut rng, t.lasts.max(0.1));
     }
-    // A generator of its own, so that viewers with tokens change no draw of the others.
+    // A separate random generator, so that viewers with tokens do not change the draws of the others.
     let mut rng = Rng::with_seed(size.seed ^ 0x71c8);
     for k in 0..size.tickets {
         let mut wanted = draw_session(script, &mut rng, next + k, None);
--- a/crates/kelpdoor-lab/src/fluid.rs
+++ b/crates/kelpdoor-lab/src/fluid.rs
@@ -71,7 +71,7 @@
 /// What a node does with a SETUP.
 #[derive(Debug, PartialEq)]
 pub enum SetupDecision {
-    /// The set-up takes so many seconds.
+    /// The set-up is accepted and takes this many seconds.
     Accepted(f64),
     /// No place is free, or the node drains.
     Full,
--- a/crates/kelpdoor-lab/src/load.rs
+++ b/crates/kelpdoor-lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Measures a director under load, and in the same run a plain relay for comparison. Each is a process of its own.
+//! Measures a director under load, and in the same run a plain relay for comparison. Each runs in a separate process.
 
 use std::collections::VecDeque;
 use std::fmt::Write as _;
--- a/crates/kelpdoor-lab/src/node.rs
+++ b/crates/kelpdoor-lab/src/node.rs
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Ends a node's process: its connections are reset and its streams end. The roster tells of it after its lag.
+    /// Ends a node's process: its connections are reset and its streams end. The roster reports it after its lag.
     pub fn kill(&self, id: u32, why: &str) {
         let mut s = self.lock();
         let Some(process) = s.processes.remove(&id) else { return };
--- a/crates/kelpdoor-lab/src/platform/node.rs
+++ b/crates/kelpdoor-lab/src/platform/node.rs
@@ -457,7 +457,7 @@
     }
 }
 
-/// The request that tells a director that a session is over.
+/// The request that notifies a director of the end of a session.
 fn release(tag: &str, cause: u32) -> Request {
     Request::new(Method::Teardown, "rtsp://media/over", 2)
         .with("Session", tag)
--- a/crates/kelpdoor-lab/src/player.rs
+++ b/crates/kelpdoor-lab/src/player.rs
@@ -176,7 +176,7 @@
 enum Attempt {
     /// The viewer watched to the end.
     Finished,
-    /// The viewer tries again after so many seconds.
+    /// The viewer retries after this many seconds.
     RetryAfter(f64),
 }
 
--- a/crates/kelpdoor-lab/src/roster.rs
+++ b/crates/kelpdoor-lab/src/roster.rs
@@ -1,4 +1,4 @@
-//! A stand-in roster: a feed of JSON lines that tells of each change after a configurable lag.
+//! A stand-in roster: a feed of JSON lines that reports each change after a configurable lag.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -16,7 +16,7 @@
     /// Changes of nodes, with their times in seconds since the Unix epoch. A position in this log is a version.
     log: Vec<(f64, RosterNode)>,
     titles: Vec<RosterTitle>,
-    /// Seconds after which a change is told.
+    /// Delay in seconds after which a change is sent.
     lag: f64,
 }
 
@@ -86,7 +86,7 @@
         Ok((listener, address))
     }
 
-    /// The position up to which the log may be told by now, starting at `from`, and the seconds until the next entry.
+    /// End of the log entries that are due by now, starting at `from`, and the seconds until the next entry is due.
     fn due_entries(&self, from: usize) -> (usize, Option<f64>) {
         let s = self.state.lock().unwrap_or_else(|e| e.into_inner());
         let t = now() - s.lag;
--- a/crates/kelpdoor-lab/src/scale/process.rs
+++ b/crates/kelpdoor-lab/src/scale/process.rs
@@ -22,7 +22,7 @@
 /// The process does not exist, or `/proc` has an unexpected format.
 pub fn usage(pid: u32) -> Result<ProcessUsage> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).with_context(|| format!("process {pid}"))?;
-    // The process name stands in parentheses and may contain spaces and parentheses.
+    // The process name is enclosed in parentheses and may contain spaces and parentheses.
     let after_name = stat.rsplit_once(')').context("/proc/PID/stat has no process name")?.1;
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let field = |k: usize| -> Result<f64> {
--- a/crates/kelpdoor-lab/src/trouble.rs
+++ b/crates/kelpdoor-lab/src/trouble.rs
@@ -23,7 +23,7 @@
     pub class_at: f64,
     /// Mean length of a session before the scale of its group, s.
     pub watch: f64,
-    /// Delay with which the roster tells of changes, s.
+    /// Delay with which the roster reports changes, s.
     pub roster_lag: f64,
     pub seed: u64,
     pub schools: u32,
@@ -87,7 +87,7 @@
     Ageing,
     /// Nodes are drained and restarted, one by one.
     Deploy,
-    /// The roster tells of changes later than usual.
+    /// The roster reports changes later than usual.
     DiscoveryStale,
     /// Nodes send their notifications later than usual.
     ReportLate,
