--- a/crates/kelpdoor-director/src/core.rs
+++ b/crates/kelpdoor-director/src/core.rs
@@ -765,7 +765,7 @@
         }
     }
 
-    /// Gives up an outstanding SETUP. The TEARDOWN is sent at once, so that a late success does not leave a stream
+    /// Abandons an outstanding SETUP. The TEARDOWN is sent at once, so that a late success does not leave a stream
     /// playing.
     fn abandon_setup(&mut self, id: u64, outcome: SetupOutcome, closed: bool) {
         let Some(attempt) = self.sessions.get(&id).and_then(|session| session.attempt.clone()) else {
--- a/crates/kelpdoor-platform/src/core.rs
+++ b/crates/kelpdoor-platform/src/core.rs
@@ -4,9 +4,9 @@
 //! effects.
 //!
 //! A session is requested, then has a SETUP (waiting for a connection, sent, or in doubt after its connection
-//! was lost), then is active, then ends. The function that handles a step documents what its peers are to
-//! get. A set-up that the session logic leaves unanswered, whatever the fault, fails at its deadline. A link
-//! is one connection to a media node.
+//! was lost), then is active, then ends. The function that handles a step documents what its peers
+//! receive. A set-up that the session logic leaves unanswered, whatever the fault, fails at its deadline. A
+//! link is one connection to a media node.
 //!
 //! Every resource is bounded. Set-ups get a busy reply beyond the limits on open set-ups (in total and per
 //! viewer connection), on the memory of their descriptions, on active sessions and on recently cancelled
@@ -46,12 +46,12 @@
 const MAX_SETUPS_PER_VIEWER: usize = 160;
 /// Maximum open set-ups in total.
 const MAX_SETUPS: usize = 1024;
-/// The descriptions of open set-ups may take one part in this many of the memory. The shell allows as much
-/// for unsent output.
+/// The descriptions of open set-ups may use the memory limit divided by this. The shell allows as much for
+/// unsent output.
 pub const MEMORY_DIVISOR: usize = 8;
-/// Active sessions may take one part in this many of the memory.
+/// Active sessions may use the memory limit divided by this.
 const SESSIONS_MEMORY_DIVISOR: usize = 4;
-/// Bytes that one active session takes, with its state in the session logic.
+/// Bytes that one active session uses, with its state in the session logic.
 const SESSION_BYTES: usize = 640;
 /// Maximum links per node; further SETUPs share them.
 const MAX_LINKS_PER_NODE: usize = 6;
@@ -1319,7 +1319,7 @@
     // Change log.
 
     /// Allocates the number of a new node from a hash of its id, so that it is the same at all directors
-    /// whatever order they learn nodes in: the session logic may use it in random draws. A collision takes
+    /// regardless of the order in which they discover nodes: the session logic may use it in random draws. A collision takes
     /// the next free number. 0 means no node.
     fn allocate_node_id(&self, id: &str) -> NodeId {
         let mut hasher = DefaultHasher::new();
@@ -1384,8 +1384,8 @@
         change.hosts.iter().filter_map(|h| self.update_host(h)).collect()
     }
 
-    /// Takes back SETUPs that wait for a link to a node that begins to drain, leaves the list or restarts in
-    /// this change. They were ordered with the earlier state, and the session logic places them again with
+    /// Ends SETUPs, as never sent, that wait for a link to a node that begins to drain, leaves the list or
+    /// restarts in this change. They were ordered with the earlier state, and the session logic places them again with
     /// the new one.
     fn take_back_waiting_setups(&mut self, before: &[(NodeId, Phase, f64)]) {
         let stale = |&&(node, phase, up_since): &&(NodeId, Phase, f64)| {
--- a/crates/kelpdoor-platform/src/shell.rs
+++ b/crates/kelpdoor-platform/src/shell.rs
@@ -37,7 +37,7 @@
 /// Maximum inputs in one round. A viewer that sends hundreds of set-ups and cancels them at once has none of
 /// them forwarded.
 const MAX_BATCH: usize = 1024;
-/// The inputs of one round may take one part in this many of the memory.
+/// The inputs of one round may use the memory limit divided by this.
 const BATCH_MEMORY_DIVISOR: usize = 16;
 /// Bytes read from a socket at a time, so that a peer at full speed leaves time for others.
 const READ_SIZE: usize = 8 << 10;
@@ -679,8 +679,8 @@
         }
     }
 
-    /// Whether the process may exit `since` the termination signal: no set-up is open, and none is to be
-    /// expected. Closes viewer connections once that holds, and allows the exit after a further quiet time.
+    /// Whether the process may exit `since` the termination signal: no set-up is open, and no further one
+    /// is expected. Closes viewer connections once that holds, and allows the exit after a further quiet time.
     fn may_exit(&mut self, since: Duration, input_rx: &mpsc::Receiver<TimedInput>) -> bool {
         let counts = self.core.counts();
         if counts.setups_received != self.last_setup.0 {
@@ -735,7 +735,7 @@
     }
 
     /// Handles one batch: first the change log, then viewers, then nodes, each in order of arrival, so that
-    /// nothing is sent for a viewer or to a node that is gone by then.
+    /// nothing is sent for a viewer or to a node that has left by then.
     fn handle_batch(&mut self, now: f64, mut batch: Vec<TimedInput>) {
         batch.sort_by_key(|(_, input)| match input {
             Input::Change(_) => 0,
@@ -810,7 +810,7 @@
         Ok(())
     }
 
-    /// Reads what lies in the sockets after a pause of the process, before any timer fires on it.
+    /// Reads the input available in the sockets after a pause of the process, before any timer fires.
     async fn read_after_pause(
         &mut self, input_rx: &mut mpsc::Receiver<TimedInput>, mut first: Vec<TimedInput>,
     ) {
