--- a/crates/kelpdoor-lab/src/day.rs
+++ b/crates/kelpdoor-lab/src/day.rs
@@ -1,4 +1,4 @@
-//! Runs a bad day: starts stand-ins and directors, lets players arrive and troubles happen by a script, and records every
+//! Runs a bad day: starts stand-ins and directors, schedules players and troubles as a script says, and records every
 //! message.
 
 use std::path::{Path, PathBuf};
--- a/crates/kelpdoor-lab/src/voters.rs
+++ b/crates/kelpdoor-lab/src/voters.rs
@@ -391,7 +391,7 @@
         if let Some(n) = said.strip_prefix("agreed ").and_then(parse_number) {
             self.newest = self.newest.max(n);
         }
-        // A rejected proposal learns the newest version from the error; the next proposal is based on it.
+        // The error of a rejected proposal states the newest version, on which the next proposal is based.
         if let Some(n) =
             said.rsplit("version is ").next().filter(|_| !output.status.success()).and_then(parse_number)
         {
