--- a/crates/kelpdoor-platform/src/core.rs
+++ b/crates/kelpdoor-platform/src/core.rs
@@ -4,9 +4,9 @@
 //! effects.
 //!
 //! A session is requested, then has a SETUP (waiting for a connection, sent, or in doubt after its connection
-//! was lost), then is active, then ends. The function that handles a step documents what its peers are to
-//! get. A set-up that the session logic leaves unanswered, whatever the fault, fails at its deadline. A link
-//! is one connection to a media node.
+//! was lost), then is active, then ends. The function that handles a step documents what its peers
+//! receive. A set-up that the session logic leaves unanswered, whatever the fault, fails at its deadline. A
+//! link is one connection to a media node.
 //!
 //! Every resource is bounded. Set-ups get a busy reply beyond the limits on open set-ups (in total and per
 //! viewer connection), on the memory of their descriptions, on active sessions and on recently cancelled
@@ -46,12 +46,12 @@
 const MAX_SETUPS_PER_VIEWER: usize = 160;
 /// Maximum open set-ups in total.
 const MAX_SETUPS: usize = 1024;
-/// The descriptions of open set-ups may take one part in this many of the memory. The shell allows as much
-/// for unsent output.
+/// The descriptions of open set-ups may use the memory limit divided by this. The shell allows as much for
+/// unsent output.
 pub const MEMORY_DIVISOR: usize = 8;
-/// Active sessions may take one part in this many of the memory.
+/// Active sessions may use the memory limit divided by this.
 const SESSIONS_MEMORY_DIVISOR: usize = 4;
-/// Bytes that one active session takes, with its state in the session logic.
+/// Bytes that one active session uses, with its state in the session logic.
 const SESSION_BYTES: usize = 640;
 /// Maximum links per node; further SETUPs share them.
 const MAX_LINKS_PER_NODE: usize = 6;
@@ -401,7 +401,7 @@
         self.state.effects.drain(..).for_each(emit);
     }
 
-    /// Refuses set-ups from now on with a busy reply that tells when to come back.
+    /// Refuses set-ups from now on with a busy reply that states when to retry.
     pub fn refuse_setups(&mut self) {
         self.state.refusing_setups = true;
     }
@@ -570,8 +570,8 @@
         self.close_when_idle(conn);
     }
 
-    /// A held session id arrives again in a different request. On the same connection the two cannot be told
-    /// apart, so the set-up fails. A session that arrived on another connection is not affected; only the
+    /// A held session id arrives again in a different request. On the same connection the two cannot be
+    /// distinguished, so the set-up fails. A session that arrived on another connection is not affected; only the
     /// connection of the second request is closed.
     fn reject_duplicate_id(&mut self, conn: u64, sess: SessId) {
         let Some(s) = self.sessions.get(&sess) else { return };
@@ -838,7 +838,7 @@
         self.round.ended.push(Ended { sess, node, outcome, closed: true, load });
     }
 
-    /// Ends a SETUP that did not become a session; the session logic is told the outcome and decides what
+    /// Ends a SETUP that did not become a session; the session logic receives the outcome and decides what
     /// follows.
     fn finish_setup(&mut self, sess: SessId, outcome: SetupOutcome, load: LoadReport) {
         let Some(s) = self.sessions.get_mut(&sess) else { return };
@@ -897,7 +897,7 @@
         self.effects.push(Effect::CloseLink { link, immediate });
     }
 
-    /// Cancels a SETUP: the node is told, and a late answer will be released.
+    /// Cancels a SETUP: notifies the node; a session that a late answer reports will be released.
     fn cancel_setup(&mut self, sess: SessId, outcome: SetupOutcome) {
         let Some(s) = self.sessions.get(&sess) else { return };
         let (stage, node, link, sent) = (s.stage, s.node, s.link, s.setup_sent_at);
@@ -1319,7 +1319,7 @@
     // Change log.
 
     /// Allocates the number of a new node from a hash of its id, so that it is the same at all directors
-    /// whatever order they learn nodes in: the session logic may use it in random draws. A collision takes
+    /// regardless of the order in which they discover nodes: the session logic may use it in random draws. A collision takes
     /// the next free number. 0 means no node.
     fn allocate_node_id(&self, id: &str) -> NodeId {
         let mut hasher = DefaultHasher::new();
@@ -1384,8 +1384,8 @@
         change.hosts.iter().filter_map(|h| self.update_host(h)).collect()
     }
 
-    /// Takes back SETUPs that wait for a link to a node that begins to drain, leaves the list or restarts in
-    /// this change. They were ordered with the earlier state, and the session logic places them again with
+    /// Ends SETUPs, as never sent, that wait for a link to a node that begins to drain, leaves the list or
+    /// restarts in this change. They were ordered with the earlier state, and the session logic places them again with
     /// the new one.
     fn take_back_waiting_setups(&mut self, before: &[(NodeId, Phase, f64)]) {
         let stale = |&&(node, phase, up_since): &&(NodeId, Phase, f64)| {
@@ -1538,7 +1538,7 @@
         self.remove_session(sess);
     }
 
-    /// Tells the viewer to come back; the node ends the session and reports it.
+    /// Asks the viewer to start a new session and the node to end this one; the node reports the end.
     fn shift(&mut self, sess: SessId) {
         let Some(s) = self.sessions.get(&sess).filter(|s| s.stage == Stage::Active) else { return };
         let (node, conn) = (s.node, s.conn);
